--- a/features/steps/admission_steps.py
+++ b/features/steps/admission_steps.py
@@ -13,7 +13,7 @@
 
 @given("{count:d} jobs of 1 tasks that have just come, at an entry that has placed little lately")
 def jobs_come(context, count):
-    context.dispatch.placer.backlog.note_placed(LITTLE_WORK, context.now_ms - 200)
+    context.dispatch.placer.backlog.record_placed(LITTLE_WORK, context.now_ms - 200)
     for number in range(count):
         record = OpenJob(
             "flags", "inspect-desk", "{}", "entry-1/life", 1, 0, (step_row(one_step(1)),)
--- a/features/steps/crashing_task_steps.py
+++ b/features/steps/crashing_task_steps.py
@@ -13,10 +13,10 @@
         state = orders.RunnerReport(runner, "inspect-desk", orders.GONE, (), 0, 0, 0)
         (task,) = context.job.tasks
         began = orders.RunEvent(task.name.text, task.attempt, 1, orders.STARTED)
-        context.dispatch.take_events(
+        context.dispatch.apply_events(
             context.view, orders.RunEvents(runner, (began,)), context.now_ms
         )
-        context.dispatch.take_report(context.view, state, context.now_ms)
+        context.dispatch.apply_report(context.view, state, context.now_ms)
         runner = f"i-{number}"
         add_runner(context, runner)
         context.outside.sent.clear()
@@ -26,8 +26,8 @@
 
 def add_runner(context, runner):
     report = orders.RunnerReport(runner, "inspect-desk", orders.READY, (), 4_000, 4_000, 0)
-    context.dispatch.take_report(context.view, report, context.now_ms)
-    context.dispatch.take_room(context.view, orders.RoomReport(runner, 4_000, 4_000, 0, 0, 0))
+    context.dispatch.apply_report(context.view, report, context.now_ms)
+    context.dispatch.apply_room(context.view, orders.RoomReport(runner, 4_000, 4_000, 0, 0, 0))
     context.dispatch.take_holdings(context.view, orders.Holdings(runner, (), ()), context.now_ms)
 
 
--- a/features/steps/platform_core_steps.py
+++ b/features/steps/platform_core_steps.py
@@ -27,7 +27,7 @@
 from gapdrum.core.endpoints import Endpoint
 from gapdrum.core.jobs import Place, TaskPhase, build_job
 from gapdrum.core.models import Resources, RunEnd, RunKey, Step, TaskName
-from gapdrum.core.placement_rules import build_field, choose_runner, waiting_order
+from gapdrum.core.placement_rules import build_pool, choose_runner, waiting_order
 from gapdrum.core.placer import TRY_INTERVAL_MS
 from gapdrum.core.records import EntryAddress, OpenJob, step_row
 from gapdrum.core.room_offers import OFFER_MS
@@ -224,7 +224,7 @@
 # The owner's dispatch.
 
 
-class Outside:
+class Effects:
     """Records what the decisions lead to."""
 
     def __init__(self):
@@ -241,13 +241,13 @@
     def job_refused(self, job):
         self.ended.append(job)
 
-    def foreign_end(self, place, event):
+    def on_unowned_end(self, place, event):
         self.sent.append((place, event))
 
     def has_ended(self, _job_id):
         return False
 
-    def place_soon(self):
+    def schedule_placement(self):
         pass
 
     def note(self, event, **_fields):
@@ -256,7 +256,7 @@
 
 @given("an owner that sees one runner")
 def new_dispatch(context):
-    context.outside = Outside()
+    context.outside = Effects()
     context.dispatch = build_dispatch("plaine-nord", context.outside, lambda: True, 0)
     context.now_ms = 1_000
     join(context)
@@ -266,9 +266,9 @@
     greeting = orders.AgentGreeting("side-1", "life-1", "plaine-nord", context.now_ms)
     context.view = context.dispatch.fleet.agent_joined(greeting, context.now_ms)
     report = orders.RunnerReport("i-1", "inspect-desk", orders.READY, (), 4_000, 4_000, 0)
-    context.dispatch.take_report(context.view, report, context.now_ms)
+    context.dispatch.apply_report(context.view, report, context.now_ms)
     room = orders.RoomReport("i-1", 4_000, 4_000, 0, 0, 0)
-    context.dispatch.take_room(context.view, room)
+    context.dispatch.apply_room(context.view, room)
 
 
 @given("the agent tells that it holds nothing")
@@ -291,7 +291,7 @@
     tasks,
     failures=3,
     epoch=1,
-    unknown_until_ms=0,
+    unknown_deadline_ms=0,
     kept=True,
     job_id=JOB,
     step=None,
@@ -310,8 +310,8 @@
         latency_factor=1.6,
         latency_slack_ms=60,
     )
-    if unknown_until_ms:
-        job.unknown_until_ms = unknown_until_ms
+    if unknown_deadline_ms:
+        job.unknown_deadline_ms = unknown_deadline_ms
         for task in job.tasks:
             task.phase = TaskPhase.UNKNOWN
     context.job = job
@@ -327,8 +327,8 @@
 @given('{count:d} jobs that wait for a runner of "{upstream}" without room')
 def new_jobs_elsewhere(context, count, upstream):
     report = orders.RunnerReport("i-2", upstream, orders.READY, (), 4_000, 4_000, 0)
-    context.dispatch.take_report(context.view, report, context.now_ms)
-    context.dispatch.take_room(context.view, orders.RoomReport("i-2", 0, 4_000, 0, 0, 0))
+    context.dispatch.apply_report(context.view, report, context.now_ms)
+    context.dispatch.apply_room(context.view, orders.RoomReport("i-2", 0, 4_000, 0, 0, 0))
     holdings = orders.Holdings("i-2", (), ())
     context.dispatch.take_holdings(context.view, holdings, context.now_ms)
     for number in range(count):
@@ -371,7 +371,7 @@
 @when("{time_ms:d} ms pass")
 def time_passes(context, time_ms):
     context.now_ms += time_ms
-    context.dispatch.refuse_hopeless(context.now_ms)
+    context.dispatch.refuse_unmeetable(context.now_ms)
 
 
 @then("the other job is refused")
@@ -386,14 +386,14 @@
 
 @given("a job of 1 tasks that was taken over with epoch {epoch:d}")
 def new_taken_job(context, epoch):
-    add_job(context, 1, epoch=epoch, unknown_until_ms=context.now_ms + SILENCE_LIMIT_MS)
+    add_job(context, 1, epoch=epoch, unknown_deadline_ms=context.now_ms + SILENCE_LIMIT_MS)
 
 
 @when("the agents' runs can't be left any more")
 def unknown_over(context):
     context.now_ms += SILENCE_LIMIT_MS
     context.view.heard_ms = context.now_ms
-    context.dispatch.settle_unknown(context.now_ms)
+    context.dispatch.requeue_unknown_tasks(context.now_ms)
     context.dispatch.placer.place_waiting(context.now_ms)
 
 
@@ -436,7 +436,7 @@
     context.outside.sent.clear()
     event = orders.RunEvent(TASK.text, attempt, 1, orders.ENDED, end, attempt)
     for _ in range(2):
-        context.dispatch.take_events(
+        context.dispatch.apply_events(
             context.view, orders.RunEvents("i-1", (event,)), context.now_ms
         )
     context.dispatch.placer.place_waiting(context.now_ms)
@@ -455,7 +455,7 @@
 def tell_unknown_end(context, kept):
     event = orders.RunEvent(TASK.text, 1, 1, orders.ENDED, "done", 1, kept=kept)
     message = orders.RunEvents("i-1", (event,))
-    context.dispatch.take_events(context.view, message, context.now_ms)
+    context.dispatch.apply_events(context.view, message, context.now_ms)
 
 
 @then("nothing is looked up")
@@ -901,7 +901,7 @@
 def work_waits(context, ahead, wait, now):
     backlog = Backlog()
     for time_ms in range(context.begin_ms, now):
-        backlog.note_placed(context.work, time_ms)
+        backlog.record_placed(context.work, time_ms)
     assert abs(backlog.wait_ms(ahead, now) - wait) <= 1, backlog.wait_ms(ahead, now)
 
 
@@ -913,12 +913,12 @@
         view = RunnerView(Place("side", row["runner"]), agent, 0)
         free = int(row["free"])
         labels = tuple(row["labels"].split())
-        view.take_report(
+        view.apply_report(
             orders.RunnerReport(
                 row["runner"], "inspect-desk", row["state"], labels, 4_000, 4_000, 0
             )
         )
-        view.take_room(orders.RoomReport(row["runner"], free, 4_000, 0, 0, int(row["slowness"])))
+        view.apply_room(orders.RoomReport(row["runner"], free, 4_000, 0, 0, int(row["slowness"])))
         view.synced = True
         context.runners.append(view)
 
@@ -927,7 +927,7 @@
 def goes_to(context):
     for row in context.table:
         context.now_ms = 1_000
-        context.outside = Outside()
+        context.outside = Effects()
         context.dispatch = build_dispatch("plaine-nord", context.outside, lambda: True, 0)
         step = Step(
             1,
@@ -940,7 +940,7 @@
         add_job(context, 1, step=step, kept=False)
         task = context.job.tasks[0]
         task.avoided = set(row["avoids"].split())
-        field = build_field(context.runners, "inspect-desk")
+        field = build_pool(context.runners, "inspect-desk")
         chosen = choose_runner(
             context.job, task, field, "plaine-nord", context.now_ms, random.Random(1)
         )
@@ -986,20 +986,20 @@
         views = []
         for number in range(count):
             view = RunnerView(Place("side", f"i-{number}"), agent, 0, synced=True)
-            view.take_report(
+            view.apply_report(
                 orders.RunnerReport(
                     f"i-{number}", "inspect-desk", orders.READY, (), 4_000 + number, 100, 0
                 )
             )
-            view.take_room(orders.RoomReport(f"i-{number}", 4_000 + number, 100, 0, 0, 0))
+            view.apply_room(orders.RoomReport(f"i-{number}", 4_000 + number, 100, 0, 0, 0))
             views.append(view)
-        context.fields.append(build_field(views, "inspect-desk"))
+        context.fields.append(build_pool(views, "inspect-desk"))
 
 
 @then("one task of each entry goes to {runners:d} runners or more")
 def spread(context, runners):
     context.now_ms = 1_000
-    context.outside = Outside()
+    context.outside = Effects()
     context.dispatch = build_dispatch("plaine-nord", context.outside, lambda: True, 0)
     add_job(context, 1, kept=False)
     task = context.job.tasks[0]
@@ -1238,7 +1238,7 @@
 def read_call(path, node):
     owner = ast.unparse(node.func.value)
     is_log = node.func.attr == "write" and owner.endswith("log")
-    is_note = node.func.attr == "note" and owner.endswith("outside")
+    is_note = node.func.attr == "note" and owner.endswith("effects")
     own_line = node.func.attr == "write" and path.name == "event_log.py" and owner == "self"
     if not (is_log or is_note or own_line) or not isinstance(node.args[0], ast.Constant):
         return []
--- a/features/steps/refusal_steps.py
+++ b/features/steps/refusal_steps.py
@@ -12,11 +12,11 @@
 from behave import given, then, when
 from caller_deadline_steps import FakeDispatch
 from core_model import ManualTimers
+from gapdrum.core.shutdown import PlannedShutdown
 from platform_core_steps import JOB, OWNER, QUEUE
 from platform_system import RESUBMIT_MS
 
 from gapdrum.codec import Decoder, encode
-from gapdrum.core.departure import Departure
 from gapdrum.core.endpoints import Endpoint
 from gapdrum.core.models import JobState
 from gapdrum.core.rows import Committed, Row
@@ -163,7 +163,7 @@
 @given("an entry that ends in {left_ms:d} ms")
 def leaving_entry(context, left_ms):
     build_entry(context)
-    context.front.leave(Departure(context.timers.now_ms() + left_ms, RESUBMIT_MS))
+    context.front.leave(PlannedShutdown(context.timers.now_ms() + left_ms, RESUBMIT_MS))
 
 
 @given("its lease is {state}")
@@ -240,8 +240,8 @@
 @when("the entry takes those for which it has time")
 def entry_takes(context):
     def takes(job):
-        departure = Departure(job.left_ms, context.pause_ms)
-        return departure.has_time(0, job.stated_ms, QUEUE.objective_ms(job.stated_ms))
+        shutdown = PlannedShutdown(job.left_ms, context.pause_ms)
+        return shutdown.accepts_job(0, job.stated_ms, QUEUE.objective_ms(job.stated_ms))
 
     context.taken = [job for job in context.long_jobs if takes(job)]
     context.sent_away = [job for job in context.long_jobs if not takes(job)]
--- a/features/steps/resubmission_steps.py
+++ b/features/steps/resubmission_steps.py
@@ -107,7 +107,7 @@
 def tell_earlier(context, kind, detail):
     event = orders.RunEvent(TASK.text, 1, 1, kind, detail, 1)
     message = orders.RunEvents("i-earlier", (event,))
-    context.dispatch.take_events(context.view, message, context.now_ms)
+    context.dispatch.apply_events(context.view, message, context.now_ms)
 
 
 # Without processes: an agent with one runner, in manual time.
--- a/features/steps/run_ownership_steps.py
+++ b/features/steps/run_ownership_steps.py
@@ -14,8 +14,8 @@
 
 from gapdrum.agent.entry_links import EntryLink
 from gapdrum.core import orders
-from gapdrum.core.departure import Departure
 from gapdrum.core.models import JobState, Resources, RunEnd, RunKey, Step, TaskName
+from gapdrum.core.planned_shutdown import PlannedShutdown
 from gapdrum.core.runner_ledger import CLOCK_RATE_FLOOR
 from gapdrum.core.runner_models import EndedRun, RunnerLook, RunningTask
 from gapdrum.entry.admission import Overload
@@ -133,7 +133,7 @@
         SimpleNamespace(up=True), lease, SimpleNamespace(write=lambda *_a, **_k: None),
     )  # fmt: skip
     if state == "leaving":
-        context.front.leave(Departure(timers.now_ms() + 100, base.RESUBMIT_MS))
+        context.front.leave(PlannedShutdown(timers.now_ms() + 100, base.RESUBMIT_MS))
     context.dispatch = dispatch
 
 
@@ -475,7 +475,7 @@
     done, context.other = (order.key_of(row) for row in order.runs)
     task, kind = done.task.text, orders.ENDED
     event = orders.RunEvent(task, 1, 1, kind, RunEnd.DONE.value, 1, kept=False)
-    context.dispatch.take_events(context.view, orders.RunEvents("i-1", (event,)), context.now_ms)
+    context.dispatch.apply_events(context.view, orders.RunEvents("i-1", (event,)), context.now_ms)
     join(context)
     held = orders.HeldRun(task, 1, 1, orders.HELD_ENDED, RunEnd.DONE.value)
     context.dispatch.take_holdings(
@@ -531,13 +531,13 @@
 @when("its runner rejects it, and another one has room")
 def rejected_there(context):
     report = orders.RunnerReport("i-2", "inspect-desk", orders.READY, (), 4_000, 4_000, 0)
-    context.dispatch.take_report(context.view, report, context.now_ms)
-    context.dispatch.take_room(context.view, orders.RoomReport("i-2", 600, 4_000, 0, 0, 0))
+    context.dispatch.apply_report(context.view, report, context.now_ms)
+    context.dispatch.apply_room(context.view, orders.RoomReport("i-2", 600, 4_000, 0, 0, 0))
     holdings = orders.Holdings("i-2", (), ())
     context.dispatch.take_holdings(context.view, holdings, context.now_ms)
     context.outside.sent.clear()
     event = orders.RunEvent(TASK.text, 1, 1, orders.NOT_STARTED, orders.RUNNER_REJECTED)
-    context.dispatch.take_events(context.view, orders.RunEvents("i-1", (event,)), context.now_ms)
+    context.dispatch.apply_events(context.view, orders.RunEvents("i-1", (event,)), context.now_ms)
     context.dispatch.placer.place_waiting(context.now_ms)
 
 
--- a/features/steps/straggler_steps.py
+++ b/features/steps/straggler_steps.py
@@ -1,7 +1,7 @@
 """Steps on runs that take too long."""
 
 from behave import given, then, when
-from platform_core_steps import JOB, OWNER, Outside, add_job
+from platform_core_steps import JOB, OWNER, Effects, add_job
 
 from gapdrum.core import orders
 from gapdrum.core.dispatch import build_dispatch
@@ -98,7 +98,7 @@
 # The owner.
 
 
-class Noting(Outside):
+class Noting(Effects):
     """Remembers what was noted, too."""
 
     def __init__(self):
@@ -113,10 +113,10 @@
 def tell_room(context, runner_id, free, slowness_permille=0, labels=()):
     dispatch = context.dispatch
     report = orders.RunnerReport(runner_id, "inspect-desk", orders.READY, labels, 4_000, 4_000, 0)
-    dispatch.take_report(context.view, report, context.now_ms)
+    dispatch.apply_report(context.view, report, context.now_ms)
     runner = dispatch.fleet.runners[Place("side-1", runner_id)]
     room = orders.RoomReport(runner_id, free, 4_000, 0, runner.orders_sent, slowness_permille)
-    dispatch.take_room(context.view, room)
+    dispatch.apply_room(context.view, room)
 
 
 @given("an owner with a task of 500 ms at one of two runners, and {room} at the other")
@@ -143,7 +143,7 @@
     task = context.task
     event = orders.RunEvent(task.name.text, task.attempt, 1, kind, detail, **fields)
     message = orders.RunEvents(task.place.runner_id, (event,))
-    context.dispatch.take_events(context.view, message, context.now_ms)
+    context.dispatch.apply_events(context.view, message, context.now_ms)
 
 
 @given("the runner where it is was reported at {here:d} permille, the other at {there:d}")
@@ -156,8 +156,8 @@
 
 
 @given("tasks of its queue take up to {factor:d} times their estimates")
-def longest_factor(context, factor):
-    context.dispatch.placer.stragglers.longest_factor = lambda queue: factor
+def max_duration_factor(context, factor):
+    context.dispatch.placer.stragglers.max_duration_factor = lambda queue: factor
 
 
 @given(
--- a/features/steps/submission_steps.py
+++ b/features/steps/submission_steps.py
@@ -10,7 +10,7 @@
 from behave import given, then, when
 from caller_deadline_steps import FakeLease, FakeLog
 from core_model import ManualTimers
-from platform_core_steps import JOB, OWNER, QUEUE, Outside
+from platform_core_steps import JOB, OWNER, QUEUE, Effects
 
 from gapdrum.core import orders
 from gapdrum.core.dispatch import build_dispatch
@@ -50,7 +50,7 @@
         self.timers: ManualTimers = context.timers
         context.runner = context.keeper._context.calls = ListingRunner(self.timers)
         context.keeper.ledger.upstream = QUEUE.upstream
-        self.outside = Outside()
+        self.outside = Effects()
         self.dispatch = build_dispatch(
             "plaine-nord", self.outside, lambda: True, self.timers.now_ms()
         )
@@ -92,15 +92,15 @@
     def deliver(self, told):
         """Deliver messages of the agent to the owner."""
         takers = {
-            orders.RunEvents: self.dispatch.take_events,
+            orders.RunEvents: self.dispatch.apply_events,
             orders.Holdings: self.dispatch.take_holdings,
-            orders.RunnerReport: self.dispatch.take_report,
+            orders.RunnerReport: self.dispatch.apply_report,
         }
         for message in told:
             if type(message) in takers:
                 takers[type(message)](self.view, message, self.timers.now_ms())
             elif isinstance(message, orders.RoomReport):
-                self.dispatch.take_room(self.view, message)
+                self.dispatch.apply_room(self.view, message)
 
     def tell_owner(self):
         """Deliver what the agent has sent to the owner."""
--- a/features/steps/subset_steps.py
+++ b/features/steps/subset_steps.py
@@ -175,7 +175,7 @@
         counts = Counter()
         self.links = AgentLinks(timers, EventLog(name, timers), counts, counts)
         self.links.owner = lambda: self.owner
-        self.outside = Outside(self.links)
+        self.outside = Effects(self.links)
         self.links.dispatch = self.dispatch = build_dispatch("z", self.outside, lambda: True, 0)
         self.writers = []
 
@@ -193,7 +193,7 @@
             writer.close()
 
 
-class Outside(QuietOutside):
+class Effects(QuietOutside):
     """Sends to agents, and notes what was sent."""
 
     def __init__(self, links):
@@ -452,18 +452,18 @@
     context.dispatch = entry.dispatch
     fleet = entry.dispatch.fleet
     view = fleet.agent_joined(orders.AgentGreeting("side-1", "life", "z", 1), 1_000)
-    fleet.take_report(
+    fleet.apply_report(
         view,
         orders.RunnerReport("runner-1", "inspect-desk", orders.READY, (), 9_000, 900, 0),
         1_000,
     )
-    fleet.take_room(view, orders.RoomReport("runner-1", 9_000, 900, 0, 0, 0))
+    fleet.apply_room(view, orders.RoomReport("runner-1", 9_000, 900, 0, 0, 0))
     entry.dispatch.take_holdings(view, orders.Holdings("runner-1", (), ()), 1_000)
     context.now_ms = 1_000
     new_job(context, 1)
     task = context.job.tasks[0]
     started = orders.RunEvent(task.name.text, task.attempt, 1, orders.STARTED)
-    entry.dispatch.take_events(view, orders.RunEvents("runner-1", (started,)), 1_010)
+    entry.dispatch.apply_events(view, orders.RunEvents("runner-1", (started,)), 1_010)
     assert task.phase is TaskPhase.RUNNING
 
 
--- a/features/steps/uneven_runner_steps.py
+++ b/features/steps/uneven_runner_steps.py
@@ -5,14 +5,14 @@
 import attrs
 import msgpack
 from behave import given, then, when
-from platform_core_steps import JOB, OWNER, Outside, add_job
+from platform_core_steps import JOB, OWNER, Effects, add_job
 
 from gapdrum.codec import decode, encode
 from gapdrum.core import orders
 from gapdrum.core.dispatch import build_dispatch
 from gapdrum.core.jobs import Place
 from gapdrum.core.models import Resources, RunEnd, RunKey, Step, TaskName
-from gapdrum.core.placement_rules import build_field, choose_runner
+from gapdrum.core.placement_rules import build_pool, choose_runner
 from gapdrum.core.runner_ledger import Run, RunnerLedger
 from gapdrum.core.runner_models import EndedRun, RunnerLook, RunningTask
 from gapdrum.core.runner_views import AgentView, RunnerView
@@ -126,11 +126,11 @@
         name = f"i-{number}"
         labels = (f"rack-{number // rack_size}",) if rack_size else ()
         view = RunnerView(Place("side", name), agent, 0, synced=True)
-        view.take_report(
+        view.apply_report(
             orders.RunnerReport(name, "inspect-desk", orders.READY, labels, 8_000, 8_000, 0)
         )
         free_cpu_milli = 8_000 - 300 * (number % 4)
-        view.take_room(orders.RoomReport(name, free_cpu_milli, 8_000, 0, 0, permille, runs))
+        view.apply_room(orders.RoomReport(name, free_cpu_milli, 8_000, 0, 0, permille, runs))
         views.append(view)
     return views
 
@@ -183,13 +183,13 @@
 
 def new_field(context):
     far_factor = context.far_factor if "far_factor" in context else 1.0
-    return build_field(context.views, "inspect-desk", 0, far_factor)
+    return build_pool(context.views, "inspect-desk", 0, far_factor)
 
 
 def new_task(context, work_ms, rack="", waited_ms=0):
     """Return a job of one task that was accepted a while ago."""
     context.now_ms = NOW_MS - waited_ms
-    context.outside = Outside()
+    context.outside = Effects()
     context.dispatch = build_dispatch(ZONE, context.outside, lambda: True, 0)
     step = Step(1, ROOM, work_ms, data_rack=rack)
     add_job(context, 1, step=step, kept=False)
@@ -209,7 +209,7 @@
 @then("{count:d} tasks go to the same runners of both")
 def same_runners(context, count):
     first = choose_many(context, count, 100)
-    second = choose_many(context, count, 100, build_field(context.others, "inspect-desk"))
+    second = choose_many(context, count, 100, build_pool(context.others, "inspect-desk"))
     assert [one.place for one in first] == [one.place for one in second]
 
 
@@ -253,7 +253,7 @@
 # An entry.
 
 
-class NotingOutside(Outside):
+class NotingOutside(Effects):
     """Records what is sent and noted."""
 
     def __init__(self):
@@ -267,9 +267,9 @@
 
 def add_runner(context, name, rack, free_cpu_milli):
     report = orders.RunnerReport(name, "inspect-desk", orders.READY, (rack,), 8_000, 8_000, 0)
-    context.dispatch.take_report(context.view, report, NOW_MS)
+    context.dispatch.apply_report(context.view, report, NOW_MS)
     room = orders.RoomReport(name, free_cpu_milli, 8_000, 0, MANY_ORDERS, 0)
-    context.dispatch.take_room(context.view, room)
+    context.dispatch.apply_room(context.view, room)
     context.dispatch.take_holdings(context.view, orders.Holdings(name, (), ()), NOW_MS)
 
 
@@ -337,7 +337,7 @@
         ):
             event = orders.RunEvent(task, 1, 1, kind, detail, kept=False)
             events = orders.RunEvents("i-1", (event,))
-            context.dispatch.take_events(context.view, events, now_ms)
+            context.dispatch.apply_events(context.view, events, now_ms)
         add_runner(context, "i-1", "rack-2", 8_000)
     context.durations = context.dispatch.durations
 
--- a/features/steps/urgent_work_steps.py
+++ b/features/steps/urgent_work_steps.py
@@ -110,7 +110,7 @@
 
 @when("the queue vanishes from the configuration")
 def drop_queue(context):
-    context.meter.take_queues(())
+    context.meter.set_queues(())
 
 
 @then("it asks for nothing")
@@ -171,7 +171,7 @@
 def view_runner(context, free, kept, queue):
     context.view = RunnerView(None, None, 0)
     rows = (orders.KeptRoom(queue, kept),)
-    context.view.take_room(orders.RoomReport("i-1", free, 100, 0, 0, 0, kept=rows))
+    context.view.apply_room(orders.RoomReport("i-1", free, 100, 0, 0, 0, kept=rows))
 
 
 @then('a task of "{queue}" on {room:d} does not fit, and one of "{other}" does')
--- a/features/steps/zone_drain_steps.py
+++ b/features/steps/zone_drain_steps.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 from core_model import ManualTimers
 from local_system import find_port, wait_for
-from platform_core_steps import BOUNDS, JOB, OWNER, Outside, TellingLinks, add_job, new_log
+from platform_core_steps import BOUNDS, JOB, OWNER, Effects, TellingLinks, add_job, new_log
 from platform_steps import start_platform, steps_of
 from platform_system import ZONES
 from proxy import PASS, SILENT, Proxy
@@ -323,7 +323,7 @@
 
 @given('an owner that sees a runner with room in each of "{first}" and "{second}"')
 def owner_with_zones(context, first, second):
-    context.outside = Outside()
+    context.outside = Effects()
     context.dispatch = build_dispatch("plaine-nord", context.outside, lambda: True, 0)
     context.now_ms = 1_000
     context.zones = {}
@@ -335,8 +335,8 @@
         report = orders.RunnerReport(
             runner, "inspect-desk", orders.READY, (f"in-{zone}",), 6_000, 4_000, 0
         )
-        context.dispatch.take_report(view, report, context.now_ms)
-        context.dispatch.take_room(view, orders.RoomReport(runner, 6_000, 4_000, 0, 0, 0))
+        context.dispatch.apply_report(view, report, context.now_ms)
+        context.dispatch.apply_room(view, orders.RoomReport(runner, 6_000, 4_000, 0, 0, 0))
         context.dispatch.take_holdings(view, orders.Holdings(runner, (), ()), context.now_ms)
 
 
--- a/src/gapdrum/agent/entry_directory.py
+++ b/src/gapdrum/agent/entry_directory.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from gapdrum.agent.entry_links import EntryLinks
-from gapdrum.core.records import ADDRESS_TABLE, WHOLE_PART, EntryAddress, load_record
+from gapdrum.core.records import ADDRESS_TABLE, UNPARTITIONED, EntryAddress, load_record
 from gapdrum.core.rows import Row
 from gapdrum.event_log import EventLog
 from gapdrum.exceptions import RecordError, StoreError, StoreHistoryGoneError
@@ -55,7 +55,7 @@
 
     async def _step(self) -> None:
         if self._after is None:
-            page = await self._rows.read(ADDRESS_TABLE, WHOLE_PART, READ_TIMEOUT_MS)
+            page = await self._rows.read(ADDRESS_TABLE, UNPARTITIONED, READ_TIMEOUT_MS)
             self._links.list_only({row.at.key for row in page.rows})
             self._take(page.rows)
             self._after = page.version
--- a/src/gapdrum/agent/runner_context.py
+++ b/src/gapdrum/agent/runner_context.py
@@ -7,7 +7,7 @@
 from gapdrum.agent.grants import Grants
 from gapdrum.agent.lease_bound import LeaseBound
 from gapdrum.core.look_schedule import LookSchedule
-from gapdrum.core.models import NOTHING, Resources
+from gapdrum.core.models import ZERO_RESOURCES, Resources
 from gapdrum.core.orders import RunEvent
 from gapdrum.core.room_offers import RoomOffers
 from gapdrum.core.room_shares import RoomShares
@@ -52,7 +52,7 @@
     def free_for(self, owner: str, now_ms: int) -> Resources:
         """Return the room that an owner may use now."""
         if not self.may_start(now_ms):
-            return NOTHING
+            return ZERO_RESOURCES
         return self.ledger.free - self.offers.kept_from(owner, now_ms)
 
     def may_start(self, now_ms: int) -> bool:
--- a/src/gapdrum/core/backlog.py
+++ b/src/gapdrum/core/backlog.py
@@ -15,7 +15,7 @@
 # what is placed in the first moment says little.
 MIN_RATE_WINDOW_MS = 100
 # Room that is free already takes this share of a job's own work off the wait.
-OWN_SHARE = 0.3
+OWN_WORK_SHARE = 0.3
 
 
 def work_of(steps: Iterable[Step]) -> int:
@@ -36,7 +36,7 @@
     _sum: int = 0
     _since_ms: int = 0
 
-    def note_placed(self, work: int, now_ms: int) -> None:
+    def record_placed(self, work: int, now_ms: int) -> None:
         """Note work that was handed to a runner."""
         if not self._placed:
             self._since_ms = now_ms
@@ -44,9 +44,9 @@
         self._sum += work
         self._trim(now_ms)
 
-    def note_returned(self, work: int, now_ms: int) -> None:
+    def record_returned(self, work: int, now_ms: int) -> None:
         """Note work that came back unstarted."""
-        self.note_placed(-work, now_ms)
+        self.record_placed(-work, now_ms)
 
     def _trim(self, now_ms: int) -> None:
         while self._placed and self._placed[0][0] < now_ms - RATE_WINDOW_MS:
@@ -67,7 +67,7 @@
 def tasks_ahead(jobs: Iterable[Job], priority: int, begin_by_ms: int) -> Iterator[Task]:
     """Yield the waiting tasks that go before a new job that should begin by a time."""
     for job in jobs:
-        if job.untouched and (job.priority, job.begin_by_ms) > (priority, begin_by_ms):
+        if job.is_unstarted and (job.priority, job.begin_by_ms) > (priority, begin_by_ms):
             continue
         for task in job.tasks:
             if task.phase is TaskPhase.WAITING:
--- a/src/gapdrum/core/dispatch.py
+++ b/src/gapdrum/core/dispatch.py
@@ -6,10 +6,10 @@
 import attrs
 
 from gapdrum.core import orders
+from gapdrum.core.effects import Effects
 from gapdrum.core.fleet import Fleet, LostRunner
 from gapdrum.core.jobs import Job, Place, StoredEnd, Task, TaskPhase
 from gapdrum.core.models import RunEnd, RunKey, TaskName
-from gapdrum.core.outside import Outside
 from gapdrum.core.placer import Placer
 from gapdrum.core.runner_views import AgentView
 from gapdrum.core.task_durations import PERMILLE, TaskDurations
@@ -19,7 +19,7 @@
 class Dispatch:
     """The jobs of this entry, and the runs that agents tell of. The time is given."""
 
-    outside: Outside
+    effects: Effects
     jobs: dict[str, Job]
     fleet: Fleet
     placer: Placer
@@ -36,7 +36,7 @@
         self.jobs[job.job_id] = job
         self.placer.enqueue(job)
         self._check_outcome(job)
-        self.outside.place_soon()
+        self.effects.schedule_placement()
 
     def drop_job(self, job_id: str, reason: str) -> Job | None:
         """Let go of a job that is another's or has ended; its runs are stopped or another's."""
@@ -44,13 +44,13 @@
         self.placer.waiting.discard(job_id)
         if job is not None:
             for task in job.tasks:
-                self.fleet.take_away(task)
-            self.outside.note("job_dropped", request=job_id, epoch=job.epoch, reason=reason)
+                self.fleet.unassign(task)
+            self.effects.note("job_dropped", request=job_id, epoch=job.epoch, reason=reason)
         return job
 
     def stop_runs(self, job: Job) -> None:
         """Stop all that runs of a job that has come to its end."""
-        for task in list(job.runs_out()):
+        for task in list(job.active_tasks()):
             self._stop(task.place, task.run)
 
     def count_waiting(self) -> dict[str, int]:
@@ -61,10 +61,10 @@
                 counts[job.queue] = counts.get(job.queue, 0) + 1
         return counts
 
-    def refuse_hopeless(self, now_ms: int) -> None:
+    def refuse_unmeetable(self, now_ms: int) -> None:
         """Give up waiting jobs that no longer can meet their objective and have not begun."""
-        for job in self.placer.list_hopeless(now_ms):
-            self.outside.note(
+        for job in self.placer.list_unmeetable(now_ms):
+            self.effects.note(
                 "job_given_up",
                 request=job.job_id,
                 waited_ms=now_ms - job.accepted_ms,
@@ -73,22 +73,22 @@
                 waiting_jobs=len(self.placer.waiting),
                 free_cpu_milli=self.fleet.free_cpu_milli(),
             )
-            self.outside.job_refused(job)
+            self.effects.job_refused(job)
             self.drop_job(job.job_id, "no_room_in_time")
 
     # Runners.
 
-    def take_report(self, view: AgentView, report: orders.RunnerReport, now_ms: int) -> None:
+    def apply_report(self, view: AgentView, report: orders.RunnerReport, now_ms: int) -> None:
         """Take what a runner is, and its state."""
-        lost = self.fleet.take_report(view, report, now_ms)
+        lost = self.fleet.apply_report(view, report, now_ms)
         if lost is not None:
             self._release_lost(lost, now_ms)
-        self.outside.place_soon()
+        self.effects.schedule_placement()
 
-    def take_room(self, view: AgentView, report: orders.RoomReport) -> None:
+    def apply_room(self, view: AgentView, report: orders.RoomReport) -> None:
         """Take a runner's free room."""
-        self.fleet.take_room(view, report)
-        self.outside.place_soon()
+        self.fleet.apply_room(view, report)
+        self.effects.schedule_placement()
 
     def check_silence(self, now_ms: int) -> None:
         """Place anew what was placed where nothing runs any more."""
@@ -99,7 +99,7 @@
         """Place anew what was sent to an agent that had decided to leave before it came."""
         for lost in self.fleet.agent_departed(view):
             self._release_lost(lost, now_ms)
-        self.outside.place_soon()
+        self.effects.schedule_placement()
 
     def _release_lost(self, lost: LostRunner, now_ms: int) -> None:
         for task in lost.tasks:
@@ -114,12 +114,12 @@
 
     # Runs.
 
-    def take_events(self, view: AgentView, message: orders.RunEvents, now_ms: int) -> None:
+    def apply_events(self, view: AgentView, message: orders.RunEvents, now_ms: int) -> None:
         """Take what happened to runs."""
         place = Place(view.agent, message.runner_id)
         for event in message.events:
             self._take_event(view, place, event, now_ms)
-        self.outside.place_soon()
+        self.effects.schedule_placement()
 
     def _take_event(
         self, view: AgentView, place: Place, event: orders.RunEvent, now_ms: int
@@ -128,12 +128,12 @@
         job = self.jobs.get(name.job_id)
         if job is None:
             if event.kind == orders.ENDED and event.kept:
-                self.outside.foreign_end(place, event)
+                self.effects.on_unowned_end(place, event)
             return
         task = job.by_name.get(name)
         if task is None:
             return
-        if not job.knows_run(task, event.attempt, place, event.submission, view.incarnation):
+        if not job.owns_run(task, event.attempt, place, event.submission, view.incarnation):
             self._pass_over(place, event)
         elif event.kind == orders.ENDED:
             self._take_end(job, task, place, event, now_ms)
@@ -148,7 +148,7 @@
             self.drop_job(job.job_id, event.detail)
         elif event.kind == orders.NOT_STARTED:
             # An end under its name there is of an earlier submission.
-            task.placed_at.pop(event.attempt, None)
+            task.place_by_attempt.pop(event.attempt, None)
             if event.detail in orders.REJECTED_THERE:
                 task.avoided.add(place.runner_id)
             self.placer.release(job, task, event.detail, now_ms)
@@ -161,7 +161,7 @@
 
         Its end, which no owner asks for any more, need not be kept at the runner.
         """
-        self.outside.note(
+        self.effects.note(
             "event_of_earlier_submission",
             request=event.task.partition(".")[0],
             task=event.task,
@@ -171,9 +171,9 @@
             runner=place.runner_id,
         )
         if event.kind == orders.ENDED and event.kept:
-            self.outside.foreign_end(place, event)
+            self.effects.on_unowned_end(place, event)
 
-    def lose_job(self, lost: orders.JobLost) -> None:
+    def drop_claimed_job(self, lost: orders.JobLost) -> None:
         """Let go of a job that another entry has claimed."""
         job = self.jobs.get(lost.job_id)
         if job is not None and job.epoch < lost.epoch:
@@ -191,7 +191,7 @@
             task.phase = TaskPhase.RUNNING
             task.started_ms = now_ms
             job.begun = True
-            self.outside.note(
+            self.effects.note(
                 "task_started",
                 request=job.job_id,
                 task=task.name.text,
@@ -203,7 +203,7 @@
         self, job: Job, task: Task, place: Place, event: orders.RunEvent, now_ms: int
     ) -> None:
         end = RunEnd(event.detail)
-        self.outside.note(
+        self.effects.note(
             "task_ended",
             request=job.job_id,
             task=event.task,
@@ -222,10 +222,10 @@
             self._note_duration(job, task, now_ms)
         if task.phase is not TaskPhase.DONE:
             if end is RunEnd.DONE or event.attempt == task.attempt:
-                self.fleet.take_away(task)
+                self.fleet.unassign(task)
             if end is RunEnd.FAILED:
                 task.avoided.add(place.runner_id)
-            job.take_end(task, event.attempt, end, now_ms)
+            job.record_end(task, event.attempt, end, now_ms)
         if job.kept and end in (RunEnd.DONE, RunEnd.FAILED):
             self._remember_end(job, StoredEnd(place, event.end_number))
             job.progress_dirty_ms = job.progress_dirty_ms or now_ms
@@ -247,10 +247,10 @@
 
     def let_go(self, place: Place, numbers: tuple[int, ...]) -> None:
         """Tell an agent that ends need not be kept at the runner."""
-        self.outside.send(place.agent, orders.EndsStored(place.runner_id, numbers, ()))
+        self.effects.send(place.agent, orders.EndsStored(place.runner_id, numbers, ()))
 
     def _let_go_outrun(self, place: Place, number: int) -> None:
-        self.outside.send(place.agent, orders.EndsStored(place.runner_id, (), (number,)))
+        self.effects.send(place.agent, orders.EndsStored(place.runner_id, (), (number,)))
 
     def let_go_stored(self, job: Job, ends: list[StoredEnd]) -> None:
         """Tell the agents that ends of a job are stored."""
@@ -264,7 +264,7 @@
     def _move(self, job: Job, task: Task, event: orders.RunEvent, now_ms: int) -> None:
         """Stop a run that straggles, so that it is placed anew, if that is likely to help."""
         verdict = self.placer.judge_straggler(job, task, event, now_ms)
-        self.outside.note(
+        self.effects.note(
             "task_straggles",
             request=job.job_id,
             task=task.name.text,
@@ -286,8 +286,8 @@
 
     def _stop(self, place: Place, run: RunKey) -> None:
         named = orders.NamedRun(run.task.text, run.attempt)
-        self.outside.send(place.agent, orders.StopOrder(place.runner_id, (named,)))
-        self.outside.note(
+        self.effects.send(place.agent, orders.StopOrder(place.runner_id, (named,)))
+        self.effects.note(
             "task_stop_ordered",
             request=run.task.job_id,
             task=run.task.text,
@@ -308,14 +308,14 @@
             adopted.extend(self._take_held(view, place, row, now_ms))
         if adopted:
             message = orders.AdoptRuns(holdings.runner_id, tuple(adopted))
-            self.outside.send(view.agent, message)
+            self.effects.send(view.agent, message)
         runner = self.fleet.runners.get(place)
         if runner is not None and not holdings.jobs:
             for task in list(runner.out):
                 if (task.name.text, task.attempt) not in held:
                     self._release_unproven(task, "not_held", now_ms)
             runner.synced = True
-        self.outside.place_soon()
+        self.effects.schedule_placement()
 
     def _take_held(
         self, view: AgentView, place: Place, row: orders.HeldRun, now_ms: int
@@ -329,7 +329,7 @@
             # Else its owner hears of it as well, or the agent asks after it later.
             return []
         if task is None:
-            if self.outside.has_ended(name.job_id):
+            if self.effects.has_ended(name.job_id):
                 self._stop(place, RunKey(name, row.attempt))
             return []
         if not self._is_expected(task, place, row):
@@ -364,7 +364,7 @@
         task = job.by_name.get(name) if job is not None else None
         if task is None or row.phase != orders.HELD_ENDED:
             return True
-        return job.knows_run(task, row.attempt, place, row.submission, view.incarnation)
+        return job.owns_run(task, row.attempt, place, row.submission, view.incarnation)
 
     @staticmethod
     def _is_expected(task: Task, place: Place, row: orders.HeldRun) -> bool:
@@ -377,7 +377,7 @@
 
     def _place_at(self, job: Job, task: Task, place: Place, attempt: int, now_ms: int) -> None:
         if task.phase is TaskPhase.UNKNOWN:
-            self.outside.note(
+            self.effects.note(
                 "task_adopted",
                 request=job.job_id,
                 task=task.name.text,
@@ -388,17 +388,17 @@
             task.started_ms = now_ms
             job.begun = True
         task.attempt = attempt
-        task.put(place)
+        task.assign_place(place)
         runner = self.fleet.runners.get(place)
         if runner is not None:
             runner.out.add(task)
 
-    def settle_unknown(self, now_ms: int) -> None:
+    def requeue_unknown_tasks(self, now_ms: int) -> None:
         """Let tasks of taken-over jobs wait again once no run of them can be left."""
         for job in self.jobs.values():
-            if not job.unknown_until_ms or now_ms < job.unknown_until_ms:
+            if not job.unknown_deadline_ms or now_ms < job.unknown_deadline_ms:
                 continue
-            job.unknown_until_ms = 0
+            job.unknown_deadline_ms = 0
             for task in job.tasks:
                 if task.phase is TaskPhase.UNKNOWN:
                     job.release(task)
@@ -411,7 +411,7 @@
         if outcome is not None:
             job.ending = outcome
             self.placer.waiting.discard(job.job_id)
-            self.outside.job_ended(job)
+            self.effects.job_ended(job)
 
 
 def _adopt(job: Job, task: Task, row: orders.HeldRun) -> orders.AdoptedRun:
@@ -430,15 +430,15 @@
 
 def build_dispatch(
     zone: str,
-    outside: Outside,
-    may_act: Callable[[], bool],
+    effects: Effects,
+    holds_lease: Callable[[], bool],
     now_ms: int,
     rng: random.Random | None = None,
     far_factor: float = 1.0,
 ) -> Dispatch:
-    """Return an owner without jobs; ``may_act`` tells whether the lease in the store is held."""
+    """Return an owner without jobs; ``holds_lease`` tells whether the lease in the store is held."""
     jobs: dict[str, Job] = {}
-    fleet = Fleet(outside)
+    fleet = Fleet(effects)
     rng = rng or random.Random()
-    placer = Placer(zone, outside, may_act, fleet, jobs, now_ms, rng, far_factor)
-    return Dispatch(outside, jobs, fleet, placer)
+    placer = Placer(zone, effects, holds_lease, fleet, jobs, now_ms, rng, far_factor)
+    return Dispatch(effects, jobs, fleet, placer)
--- a/src/gapdrum/core/outside.py
+++ b/src/gapdrum/core/effects.py
@@ -6,7 +6,7 @@
 from gapdrum.core.jobs import Job, Place
 
 
-class Outside(Protocol):
+class Effects(Protocol):
     """What decisions lead to: messages to agents, and jobs that have come to an end."""
 
     def send(self, agent: str, message: object) -> bool:
@@ -18,13 +18,13 @@
     def job_refused(self, job: Job) -> None:
         """Tell the callers of a job that it has not run and will not."""
 
-    def foreign_end(self, place: Place, event: orders.RunEvent) -> None:
+    def on_unowned_end(self, place: Place, event: orders.RunEvent) -> None:
         """Find out about an end of a job that this entry does not own."""
 
     def has_ended(self, job_id: str) -> bool:
         """Tell whether a job is known to have ended."""
 
-    def place_soon(self) -> None:
+    def schedule_placement(self) -> None:
         """Call ``place_waiting`` once, after what is being read now has been taken in."""
 
     def note(self, event: str, **fields: object) -> None:
--- a/src/gapdrum/core/expected_end.py
+++ b/src/gapdrum/core/expected_end.py
@@ -12,10 +12,10 @@
 
 # A task is sure to end in time if it could take this much longer than expected: the last task of
 # a job counts, tasks of one job differ by a tenth, and what is known of a runner is a tenth off.
-SAFE_FACTOR = 1.5
+SAFE_MARGIN_FACTOR = 1.5
 
 
-class Promptness(enum.IntEnum):
+class DeadlineMargin(enum.IntEnum):
     """Whether a task that begins now ends in time for its job."""
 
     LATE = 0
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen
-class Outlook:
+class CompletionForecast:
     """What a task may expect of the runners: the time that it has, and how soon it may end.
 
     ``left_ms`` is the time until it must have ended, and ``best`` the promptness at the runners
@@ -41,28 +41,28 @@
     step: Step
     far_factor: float
     left_ms: int
-    best: Promptness
+    best: DeadlineMargin
 
     def factor(self, view: RunnerView) -> float:
         """Return how many times its stated work the task is expected to take at a runner."""
         return self.speeds.of(view) * distance(self.step, view, self.far_factor)
 
-    def promptness(self, view: RunnerView) -> Promptness:
+    def deadline_margin(self, view: RunnerView) -> DeadlineMargin:
         """Tell whether the task would end in time at a runner."""
         if not self.speeds.relative and not self.step.data_rack:
             return self.best  # all runners are alike to it
-        return promptness(self.step.estimate_ms * self.factor(view), self.left_ms)
+        return deadline_margin(self.step.estimate_ms * self.factor(view), self.left_ms)
 
     def is_worth_waiting(self, view: RunnerView) -> bool:
         """Tell whether a task would be late at a runner, and not at another that may get room."""
-        return self.promptness(view) < min(self.best, Promptness.CLOSE)
+        return self.deadline_margin(view) < min(self.best, DeadlineMargin.CLOSE)
 
 
-def promptness(expected_ms: float, left_ms: float) -> Promptness:
+def deadline_margin(expected_ms: float, left_ms: float) -> DeadlineMargin:
     """Tell how surely a task ends in the time that is left."""
-    if left_ms >= SAFE_FACTOR * expected_ms:
-        return Promptness.SAFE
-    return Promptness.CLOSE if left_ms >= expected_ms else Promptness.LATE
+    if left_ms >= SAFE_MARGIN_FACTOR * expected_ms:
+        return DeadlineMargin.SAFE
+    return DeadlineMargin.CLOSE if left_ms >= expected_ms else DeadlineMargin.LATE
 
 
 def left_ms(job: Job, task: Task, now_ms: int) -> int:
--- a/src/gapdrum/core/fleet.py
+++ b/src/gapdrum/core/fleet.py
@@ -6,8 +6,8 @@
 import attrs
 
 from gapdrum.core import orders, run_bounds
+from gapdrum.core.effects import Effects
 from gapdrum.core.jobs import Place, Task
-from gapdrum.core.outside import Outside
 from gapdrum.core.runner_views import AgentView, RunnerView
 
 PERMILLE = 1_000
@@ -26,7 +26,7 @@
 class Fleet:
     """All agents and runners by name. The time is given."""
 
-    outside: Outside
+    effects: Effects
     agents: dict[str, AgentView] = attrs.Factory(dict)
     runners: dict[Place, RunnerView] = attrs.Factory(dict)
     closed_zones: frozenset[str] = frozenset()  # where operators want nothing to be started
@@ -74,21 +74,21 @@
         for runner in self._runners_of(greeting.agent):
             runner.agent = view
             runner.restart_count(now_ms)
-        self.outside.note("agent_joined", agent=greeting.agent, incarnation=greeting.incarnation)
+        self.effects.note("agent_joined", agent=greeting.agent, incarnation=greeting.incarnation)
         return view
 
     def agent_left(self, view: AgentView) -> None:
         """Note that an agent's stream has ended; what runs there goes on for a while."""
         view.connected = False
-        self.outside.note("agent_disconnected", agent=view.agent)
+        self.effects.note("agent_disconnected", agent=view.agent)
 
     def agent_departed(self, view: AgentView) -> list[LostRunner]:
         """Note that an agent serves other entries from now on, and holds nothing for this one."""
         self.agents.pop(view.agent, None)
-        self.outside.note("agent_departed", agent=view.agent)
+        self.effects.note("agent_departed", agent=view.agent)
         return [self._lose(one, "agent_departed") for one in self._runners_of(view.agent)]
 
-    def take_report(
+    def apply_report(
         self, view: AgentView, report: orders.RunnerReport, now_ms: int
     ) -> LostRunner | None:
         """Take what a runner is, and its state; return the runner if it is gone."""
@@ -100,15 +100,15 @@
             runner = RunnerView(place, view, unsynced_ms=now_ms)
             self.runners[place] = runner
         if runner.state != report.state:
-            self.outside.note("runner_state", runner=report.runner_id, state=report.state)
-        runner.take_report(report)
+            self.effects.note("runner_state", runner=report.runner_id, state=report.state)
+        runner.apply_report(report)
         return self._lose(runner, "runner_gone") if report.state == orders.GONE else None
 
-    def take_room(self, view: AgentView, report: orders.RoomReport) -> None:
+    def apply_room(self, view: AgentView, report: orders.RoomReport) -> None:
         """Take a runner's free room; of one that was lost meanwhile, nothing is known."""
         runner = self.runners.get(Place(view.agent, report.runner_id))
         if runner is not None:
-            runner.take_room(report)
+            runner.apply_room(report)
 
     def check_silence(self, now_ms: int) -> list[LostRunner]:
         """Give up agents, and runners, that were silent until nothing can run there any more."""
@@ -117,7 +117,7 @@
             silent_ms = now_ms - view.heard_ms
             if silent_ms > run_bounds.SILENCE_LIMIT_MS:
                 del self.agents[view.agent]
-                self.outside.note("agent_lost", agent=view.agent, silent_ms=silent_ms)
+                self.effects.note("agent_lost", agent=view.agent, silent_ms=silent_ms)
                 lost += [self._lose(one, "agent_lost") for one in self._runners_of(view.agent)]
         for runner in list(self.runners.values()):
             # Its agent is back and has not told of it: it is gone, or can't be reached.
@@ -132,7 +132,7 @@
     def _runners_of(self, agent: str) -> list[RunnerView]:
         return [runner for place, runner in self.runners.items() if place.agent == agent]
 
-    def take_away(self, task: Task) -> None:
+    def unassign(self, task: Task) -> None:
         """Take a task off the runner that it was placed at."""
         runner = self.runners.get(task.place) if task.place is not None else None
         if runner is not None:
--- a/src/gapdrum/core/jobs.py
+++ b/src/gapdrum/core/jobs.py
@@ -53,8 +53,8 @@
 class Task:
     """One task of a job; ``attempt`` is the number of its last start.
 
-    ``placed_at`` tells where each attempt was ordered or adopted, and ``slowness`` how many times
-    as long as usual the last one was expected to take there, 0 if not known. ``ordered_in`` tells
+    ``place_by_attempt`` tells where each attempt was ordered or adopted, and ``slowness`` how many times
+    as long as usual the last one was expected to take there, 0 if not known. ``incarnation_by_attempt`` tells
     in which life of its agent each attempt was ordered.
     """
 
@@ -64,23 +64,23 @@
     attempt: int = 0
     failed_attempts: set[int] = attrs.Factory(set)
     place: Place | None = None
-    placed_at: dict[int, Place] = attrs.Factory(dict)
-    ordered_in: dict[int, str] = attrs.Factory(dict)
+    place_by_attempt: dict[int, Place] = attrs.Factory(dict)
+    incarnation_by_attempt: dict[int, str] = attrs.Factory(dict)
     started_ms: int = 0
     slowness: float = 0.0
     moves: int = 0
     avoided: set[str] = attrs.Factory(set)
-    held_noted: bool = False
+    hold_logged: bool = False
 
     @property
     def run(self) -> RunKey:
         """Return the key of the last start."""
         return RunKey(self.name, self.attempt)
 
-    def put(self, place: Place) -> None:
+    def assign_place(self, place: Place) -> None:
         """Note where the last start is."""
         self.place = place
-        self.placed_at[self.attempt] = place
+        self.place_by_attempt[self.attempt] = place
 
 
 @attrs.define(eq=False)
@@ -118,8 +118,10 @@
     has_progress_row: bool = False
     progress_dirty_ms: int = 0
     unstored_ends: list[StoredEnd] = attrs.Factory(list)
-    unknown_until_ms: int = 0
-    wait_until_ms: int | None = None  # when its last caller will have stopped waiting, if known
+    unknown_deadline_ms: int = 0
+    caller_deadline_ms: int | None = (
+        None  # when its last caller will have stopped waiting, if known
+    )
 
     @property
     def latest_start_ms(self) -> int:
@@ -137,30 +139,30 @@
         return any(task.phase is TaskPhase.WAITING for task in self.tasks)
 
     @property
-    def untouched(self) -> bool:
+    def is_unstarted(self) -> bool:
         """Tell whether none of its tasks has started or may yet start."""
         return not self.begun and all(task.phase is TaskPhase.WAITING for task in self.tasks)
 
     @property
-    def useless_from_ms(self) -> int:
+    def firm_deadline_ms(self) -> int:
         """Return from when on an end of the job is worth nothing to its caller."""
         return self.accepted_ms + LATE_FACTOR * self.objective_ms
 
-    def wait_for_caller(self, until_ms: int | None) -> None:
+    def extend_caller_deadline(self, until_ms: int | None) -> None:
         """Note one more caller that waits, for ever if it has not said until when."""
-        if until_ms is None or self.wait_until_ms is None:
-            self.wait_until_ms = None
+        if until_ms is None or self.caller_deadline_ms is None:
+            self.caller_deadline_ms = None
         else:
-            self.wait_until_ms = max(self.wait_until_ms, until_ms)
+            self.caller_deadline_ms = max(self.caller_deadline_ms, until_ms)
 
     def may_start(self, now_ms: int) -> bool:
         """Tell whether somebody may still wait for what would start now.
 
         Callers whose time is over may have submitted the job again elsewhere.
         """
-        return self.wait_until_ms is None or now_ms < self.wait_until_ms
+        return self.caller_deadline_ms is None or now_ms < self.caller_deadline_ms
 
-    def knows_run(
+    def owns_run(
         self, task: Task, attempt: int, place: Place, submission: int, agent_life: str
     ) -> bool:
         """Tell whether a run at a place is one of this job's.
@@ -171,11 +173,11 @@
         """
         if self.kept:
             return True
-        if task.placed_at.get(attempt) != place:
+        if task.place_by_attempt.get(attempt) != place:
             return False
         if submission == self.submission:
             return True
-        return submission == 0 and task.ordered_in.get(attempt) != agent_life
+        return submission == 0 and task.incarnation_by_attempt.get(attempt) != agent_life
 
     def ready_tasks(self) -> list[Task]:
         """Return the waiting tasks whose turn has come."""
@@ -191,7 +193,7 @@
         floor = (self.epoch - 1) * ATTEMPTS_PER_EPOCH
         return max(task.attempt, floor) + 1
 
-    def take_end(self, task: Task, attempt: int, end: RunEnd, now_ms: int) -> None:
+    def record_end(self, task: Task, attempt: int, end: RunEnd, now_ms: int) -> None:
         """Note how a run ended; a task that is done stays done, whichever run did it."""
         if task.phase is TaskPhase.DONE:
             return
@@ -212,7 +214,7 @@
             return
         task.phase = TaskPhase.WAITING
         task.place = None
-        task.held_noted = False
+        task.hold_logged = False
 
     def outcome(self) -> JobState | None:
         """Return the final state that the tasks' ends make up, None while it is open."""
@@ -222,7 +224,7 @@
             return JobState.SUCCEEDED
         return None
 
-    def runs_out(self) -> Iterator[Task]:
+    def active_tasks(self) -> Iterator[Task]:
         """Yield the tasks that may be at work somewhere."""
         for task in self.tasks:
             if task.phase in (TaskPhase.ORDERED, TaskPhase.RUNNING):
--- a/src/gapdrum/core/models.py
+++ b/src/gapdrum/core/models.py
@@ -65,7 +65,7 @@
         )
 
 
-NOTHING = Resources()
+ZERO_RESOURCES = Resources()
 
 
 @attrs.frozen
--- a/src/gapdrum/core/placement_rules.py
+++ b/src/gapdrum/core/placement_rules.py
@@ -7,7 +7,7 @@
 import attrs
 
 from gapdrum.core import orders
-from gapdrum.core.expected_end import Outlook, Promptness, left_ms, promptness
+from gapdrum.core.expected_end import CompletionForecast, DeadlineMargin, deadline_margin, left_ms
 from gapdrum.core.fleet_speeds import FleetSpeeds, measure_speeds
 from gapdrum.core.jobs import Job, Task
 from gapdrum.core.models import Step
@@ -28,11 +28,11 @@
 # Times left are told apart by their doublings, up to about a minute.
 MOST_HALVINGS = 16
 
-Score = tuple[bool, bool, Promptness, bool, float, bool, int]
+Score = tuple[bool, bool, DeadlineMargin, bool, float, bool, int]
 
 
 @attrs.frozen
-class Field:
+class RunnerPool:
     """The runners of an upstream at one moment, and what is usual among them.
 
     Those ``with_room`` had room for the smallest task that waited.
@@ -50,12 +50,12 @@
         usual = self.speeds.usual_permille
         return bool(usual) and view.slowness_permille > SLOW_FACTOR * usual
 
-    def look_out(self, job: Job, task: Task, now_ms: int) -> Outlook:
+    def forecast_completion(self, job: Job, task: Task, now_ms: int) -> CompletionForecast:
         """Return what a task may expect if it begins now."""
         step = task.step
         time_ms = left_ms(job, task, now_ms)
-        best = promptness(step.estimate_ms * self._best_factor(step), time_ms)
-        return Outlook(self.speeds, step, self.far_factor, time_ms, best)
+        best = deadline_margin(step.estimate_ms * self._best_factor(step), time_ms)
+        return CompletionForecast(self.speeds, step, self.far_factor, time_ms, best)
 
     def _best_factor(self, step: Step) -> float:
         """Return how many times its stated work a task takes where it takes least."""
@@ -72,12 +72,12 @@
         return self._best[wanted]
 
 
-def build_field(
+def build_pool(
     runners: Iterable[RunnerView],
     upstream: str,
     least_cpu_milli: int = 0,
     far_factor: float = 1.0,
-) -> Field:
+) -> RunnerPool:
     """Return the runners of an upstream that may be considered for tasks of some size or more."""
     states = (orders.READY, orders.SUSPECT)
     views = tuple(
@@ -89,10 +89,10 @@
     with_room = tuple(view for view in views if view.free.cpu_milli >= least_cpu_milli)
     suspects_allowed = suspects > len(views) * MAX_SUSPECT_SHARE
     speeds = measure_speeds(views)
-    return Field(views, with_room, suspects_allowed, speeds, far_factor)
+    return RunnerPool(views, with_room, suspects_allowed, speeds, far_factor)
 
 
-class Standing(enum.IntEnum):
+class PriorityClass(enum.IntEnum):
     """Which jobs go before which when room is scarce, the first ones first."""
 
     BEGUN = 0  # and may still end in time
@@ -101,25 +101,25 @@
     NEW_LATE = 3
 
 
-def standing_of(job: Job, now_ms: int) -> Standing:
+def priority_class(job: Job, now_ms: int) -> PriorityClass:
     """Return where a job stands among those that wait.
 
     Work that has begun is lost unless all tasks of its job end, so few jobs are begun and all
     of them ended. Replays of overload (six seeds): 1.5% of the jobs end late, 3.9% if those that
     have begun wait like new ones.
     """
-    if job.untouched:
-        return Standing.NEW if now_ms <= job.begin_by_ms else Standing.NEW_LATE
-    return Standing.BEGUN if now_ms <= job.latest_start_ms else Standing.BEGUN_LATE
+    if job.is_unstarted:
+        return PriorityClass.NEW if now_ms <= job.begin_by_ms else PriorityClass.NEW_LATE
+    return PriorityClass.BEGUN if now_ms <= job.latest_start_ms else PriorityClass.BEGUN_LATE
 
 
-def waiting_order(job: Job, now_ms: int) -> tuple[Standing, float, int, str]:
+def waiting_order(job: Job, now_ms: int) -> tuple[PriorityClass, float, int, str]:
     """Return the key by which jobs wait: by their standing, then by the time left.
 
     Those that have none left wait in the order in which they came.
     """
     time_left_ms = _time_left(job, now_ms)
-    return (standing_of(job, now_ms), time_left_ms, job.accepted_ms, job.job_id)
+    return (priority_class(job, now_ms), time_left_ms, job.accepted_ms, job.job_id)
 
 
 def urgency_of(job: Job, now_ms: int) -> int:
@@ -128,19 +128,19 @@
     Agents offer room to the most urgent work of all entries. Replays of overload (six seeds):
     the worst-served kind of job earns 76% of its worth, 63% if any entry may be chosen.
     """
-    standing = standing_of(job, now_ms)
+    standing = priority_class(job, now_ms)
     halvings = MOST_HALVINGS - int(_time_left(job, now_ms)).bit_length()
-    return (Standing.NEW_LATE - standing) * MOST_HALVINGS + max(0, halvings)
+    return (PriorityClass.NEW_LATE - standing) * MOST_HALVINGS + max(0, halvings)
 
 
 def _time_left(job: Job, now_ms: int) -> float:
     """Return how long a job may still wait, the longer the less its queue's priority."""
-    until_ms = job.begin_by_ms if job.untouched else job.latest_start_ms
+    until_ms = job.begin_by_ms if job.is_unstarted else job.latest_start_ms
     return max(0, until_ms - now_ms) / PRIORITY_WEIGHT**job.priority
 
 
 def choose_runner(
-    job: Job, task: Task, field: Field, zone: str, now_ms: int, rng: random.Random
+    job: Job, task: Task, field: RunnerPool, zone: str, now_ms: int, rng: random.Random
 ) -> RunnerView | None:
     """Return a good runner with room for a task, None if it has to wait.
 
@@ -150,7 +150,7 @@
     best = None
     best_score = None
     found = 0
-    outlook = field.look_out(job, task, now_ms)
+    outlook = field.forecast_completion(job, task, now_ms)
     for view in _in_random_order(field.with_room, rng):
         if not _may_take(view, job, task, field, now_ms) or outlook.is_worth_waiting(view):
             continue
@@ -163,7 +163,7 @@
     return best
 
 
-def waits_for_better(job: Job, task: Task, field: Field, now_ms: int) -> bool:
+def waits_for_better(job: Job, task: Task, field: RunnerPool, now_ms: int) -> bool:
     """Tell whether a task that was not placed leaves room unused where it would end late."""
     if not field.speeds.relative and not task.step.data_rack:
         return False
@@ -178,7 +178,7 @@
     return runners[begin:] + runners[:begin]
 
 
-def may_ever_fit(task: Task, field: Field) -> bool:
+def may_ever_fit(task: Task, field: RunnerPool) -> bool:
     """Tell whether a runner would take the task if nothing ran there."""
     return any(could_hold(view, task.step) for view in field.runners)
 
@@ -189,7 +189,7 @@
     return view.capacity.holds(step.resources) and (not label or label in view.labels)
 
 
-def _may_take(view: RunnerView, job: Job, task: Task, field: Field, now_ms: int) -> bool:
+def _may_take(view: RunnerView, job: Job, task: Task, field: RunnerPool, now_ms: int) -> bool:
     if view.state == orders.SUSPECT and not field.suspects_allowed:
         return False
     if not view.may_use(job.queue, task.step.resources) or view.agent.is_quiet(now_ms):
@@ -206,7 +206,7 @@
 def _would_be_useless(view: RunnerView, job: Job, task: Task, now_ms: int) -> bool:
     """Tell whether a slow runner would be done only after the job is of no use any more."""
     expected_ms = task.step.estimate_ms * view.slowness_permille / PERMILLE
-    return now_ms + expected_ms > job.useless_from_ms
+    return now_ms + expected_ms > job.firm_deadline_ms
 
 
 def _count_same_step(view: RunnerView, task: Task) -> int:
@@ -216,7 +216,9 @@
     )
 
 
-def _score(view: RunnerView, task: Task, outlook: Outlook, field: Field, zone: str) -> Score:
+def _score(
+    view: RunnerView, task: Task, outlook: CompletionForecast, field: RunnerPool, zone: str
+) -> Score:
     """Return what is compared between runners that have room for a task.
 
     Not avoided, not slow, in time, data near, room (the less the slower the runner), own zone,
@@ -228,7 +230,7 @@
     return (
         view.place.runner_id not in task.avoided,
         not field.is_slow(view),
-        min(outlook.best, outlook.promptness(view)),
+        min(outlook.best, outlook.deadline_margin(view)),
         not rack or rack in view.labels,
         free_cpu_milli * FREE_SHARE_STEPS / field.speeds.of(view) // capacity,
         view.agent.zone == zone,
@@ -236,7 +238,7 @@
     )
 
 
-def _is_sound(score: Score, outlook: Outlook) -> bool:
+def _is_sound(score: Score, outlook: CompletionForecast) -> bool:
     """Tell whether nothing speaks against a runner."""
     not_avoided, not_slow, prompt, near, *_ = score
     return not_avoided and not_slow and prompt == outlook.best and near
--- a/src/gapdrum/core/placer.py
+++ b/src/gapdrum/core/placer.py
@@ -8,22 +8,22 @@
 
 from gapdrum.core import orders
 from gapdrum.core.backlog import (
-    OWN_SHARE,
+    OWN_WORK_SHARE,
     Backlog,
     tasks_ahead,
     waiting_work,
     work_of,
     work_of_task,
 )
+from gapdrum.core.effects import Effects
 from gapdrum.core.expected_end import distance
 from gapdrum.core.fleet import Fleet
 from gapdrum.core.fleet_speeds import measure_speeds
 from gapdrum.core.jobs import Job, Place, Task, TaskPhase
 from gapdrum.core.models import Step
-from gapdrum.core.outside import Outside
 from gapdrum.core.placement_rules import (
-    Field,
-    build_field,
+    RunnerPool,
+    build_pool,
     choose_runner,
     could_hold,
     may_ever_fit,
@@ -33,7 +33,7 @@
 )
 from gapdrum.core.queue_demand import DemandMeter
 from gapdrum.core.runner_views import RunnerView
-from gapdrum.core.stragglers import Sight, Stragglers, Verdict
+from gapdrum.core.stragglers import MoveContext, MoveDecision, StragglerPolicy
 from gapdrum.core.task_durations import TaskDurations
 
 # How many jobs of an upstream that find no room are looked at before its others are left to the
@@ -52,16 +52,16 @@
     """The jobs that wait, and the orders that they lead to. The time is given."""
 
     zone: str
-    outside: Outside
-    may_act: Callable[[], bool]  # for stored jobs: whether the lease in the store is held
+    effects: Effects
+    holds_lease: Callable[[], bool]  # for stored jobs: whether the lease in the store is held
     fleet: Fleet
     jobs: dict[str, Job]
     started_ms: int
     rng: random.Random
     far_factor: float = 1.0  # how much longer a task takes away from its data's rack
     durations: TaskDurations = attrs.Factory(TaskDurations)
-    stragglers: Stragglers = attrs.Factory(
-        lambda self: Stragglers(self.far_factor), takes_self=True
+    stragglers: StragglerPolicy = attrs.Factory(
+        lambda self: StragglerPolicy(self.far_factor), takes_self=True
     )
     waiting: set[str] = attrs.Factory(set)
     backlog: Backlog = attrs.Factory(Backlog)
@@ -77,7 +77,7 @@
         if not self.waiting:
             return 0
         jobs = (self.jobs[job_id] for job_id in self.waiting)
-        ahead = waiting_work(jobs, priority, begin_by_ms) + OWN_SHARE * work_of(steps)
+        ahead = waiting_work(jobs, priority, begin_by_ms) + OWN_WORK_SHARE * work_of(steps)
         return self.backlog.wait_ms(ahead, now_ms)
 
     def fits_now(
@@ -122,7 +122,7 @@
             for step in steps
         )
 
-    def list_hopeless(self, now_ms: int) -> list[Job]:
+    def list_unmeetable(self, now_ms: int) -> list[Job]:
         """Return waiting jobs that no longer can meet their objective and have not begun.
 
         While the runners are still being found, room may come any moment, so these jobs wait
@@ -133,8 +133,8 @@
             job
             for job in (self.jobs[job_id] for job_id in self.waiting)
             if not job.kept
-            and job.untouched
-            and now_ms > (job.useless_from_ms if warming_up else job.begin_by_ms)
+            and job.is_unstarted
+            and now_ms > (job.firm_deadline_ms if warming_up else job.begin_by_ms)
         ]
 
     def enqueue(self, job: Job) -> None:
@@ -155,7 +155,7 @@
         self._tried_ms = now_ms
         self._try_all(jobs, fields, now_ms)
 
-    def _build_fields(self, jobs: list[Job]) -> dict[str, Field]:
+    def _build_fields(self, jobs: list[Job]) -> dict[str, RunnerPool]:
         """Return the runners of each upstream for which a job waits."""
         least_cpu_milli: dict[str, int] = {}
         for job in jobs:
@@ -163,21 +163,21 @@
             least_cpu_milli[job.upstream] = min(least, job.least_cpu_milli)
         return {name: self._build_field(name, least) for name, least in least_cpu_milli.items()}
 
-    def _build_field(self, upstream: str, least_cpu_milli: int = 0) -> Field:
+    def _build_field(self, upstream: str, least_cpu_milli: int = 0) -> RunnerPool:
         runners = self.fleet.open_runners()
-        return build_field(runners, upstream, least_cpu_milli, self.far_factor)
+        return build_pool(runners, upstream, least_cpu_milli, self.far_factor)
 
-    def _may_skip(self, fields: dict[str, Field], now_ms: int) -> bool:
+    def _may_skip(self, fields: dict[str, RunnerPool], now_ms: int) -> bool:
         """Tell whether trying all jobs would be in vain: under overload most reports bring none."""
         has_room = any(field.with_room for field in fields.values())
         return not has_room and not self._untried and now_ms - self._tried_ms < TRY_INTERVAL_MS
 
-    def _try_all(self, jobs: list[Job], fields: dict[str, Field], now_ms: int) -> None:
-        may_act = self.may_act()
+    def _try_all(self, jobs: list[Job], fields: dict[str, RunnerPool], now_ms: int) -> None:
+        holds_lease = self.holds_lease()
         first_held: dict[str, Job] = {}
         held: Counter[str] = Counter()
         for job in sorted(jobs, key=lambda job: waiting_order(job, now_ms)):
-            if job.kept and not may_act or held[job.upstream] >= HELD_JOBS_TRIED:
+            if job.kept and not holds_lease or held[job.upstream] >= HELD_JOBS_TRIED:
                 continue
             if not job.may_start(now_ms):
                 continue
@@ -209,7 +209,7 @@
                 least[job.upstream] = min(known, job.least_cpu_milli)
         return least
 
-    def _place_job(self, job: Job, field: Field, now_ms: int) -> bool:
+    def _place_job(self, job: Job, field: RunnerPool, now_ms: int) -> bool:
         """Place what can be placed of a job; return whether some of it still waits."""
         chosen: dict[Place, list[Task]] = {}
         held = False
@@ -231,14 +231,14 @@
             self._send_order(job, self.fleet.runners[key], tasks, now_ms)
         return held or any(task.phase is TaskPhase.WAITING for task in ready)
 
-    def _note_held(self, job: Job, task: Task, field: Field, now_ms: int) -> None:
-        if not task.held_noted:
-            task.held_noted = True
+    def _note_held(self, job: Job, task: Task, field: RunnerPool, now_ms: int) -> None:
+        if not task.hold_logged:
+            task.hold_logged = True
             reason = self._why_held(job, task, field, now_ms)
-            self.outside.note("task_held", request=job.job_id, task=task.name.text, reason=reason)
+            self.effects.note("task_held", request=job.job_id, task=task.name.text, reason=reason)
 
     @staticmethod
-    def _why_held(job: Job, task: Task, field: Field, now_ms: int) -> str:
+    def _why_held(job: Job, task: Task, field: RunnerPool, now_ms: int) -> str:
         """Return why a task waits: it leaves room unused, the room is kept, or there is none."""
         if waits_for_better(job, task, field, now_ms):
             return "late_where_room_is"
@@ -250,10 +250,10 @@
         task.attempt = job.next_attempt(task)
         task.phase = TaskPhase.ORDERED
         task.put(runner.place)
-        task.ordered_in[task.attempt] = runner.agent.incarnation
+        task.incarnation_by_attempt[task.attempt] = runner.agent.incarnation
         task.started_ms = 0
         runner.order(task.step.resources)
-        self.backlog.note_placed(work_of_task(task), now_ms)
+        self.backlog.record_placed(work_of_task(task), now_ms)
         self.stragglers.budget.earn()
         runner.out.add(task)
 
@@ -273,9 +273,9 @@
             job.priority,
             job.submission,
         )
-        sent = self.outside.send(runner.place.agent, order)
+        sent = self.effects.send(runner.place.agent, order)
         for task in tasks:
-            self.outside.note(
+            self.effects.note(
                 "task_placed",
                 request=job.job_id,
                 task=task.name.text,
@@ -299,7 +299,7 @@
         """Let a task wait again whose last start came to nothing."""
         if task.phase not in (TaskPhase.ORDERED, TaskPhase.RUNNING):
             return
-        self.outside.note(
+        self.effects.note(
             "task_released",
             request=job.job_id,
             task=task.name.text,
@@ -308,19 +308,21 @@
             reason=reason,
         )
         if task.phase is TaskPhase.ORDERED:
-            self.backlog.note_returned(work_of_task(task), now_ms)
-        self.fleet.take_away(task)
+            self.backlog.record_returned(work_of_task(task), now_ms)
+        self.fleet.unassign(task)
         job.release(task)
         self.waiting.add(job.job_id)
 
-    def count_uneven(self) -> int:
+    def count_uneven_runners(self) -> int:
         """Return how many runners are known to differ in speed so far that placement heeds it."""
         by_upstream: dict[str, list[RunnerView]] = {}
         for runner in self.fleet.open_runners():
             by_upstream.setdefault(runner.upstream, []).append(runner)
         return sum(len(measure_speeds(views).relative) for views in by_upstream.values())
 
-    def judge_straggler(self, job: Job, task: Task, event: orders.RunEvent, now_ms: int) -> Verdict:
+    def judge_straggler(
+        self, job: Job, task: Task, event: orders.RunEvent, now_ms: int
+    ) -> MoveDecision:
         """Tell whether a run that straggles is to be placed anew, and count the move."""
         task.avoided.add(task.place.runner_id)
         field = self._build_field(job.upstream)
@@ -328,7 +330,7 @@
         if there is not None and there.place.runner_id in task.avoided:
             there = None
         here = self.fleet.runners.get(task.place)
-        sight = Sight(here, there, field.speeds)
+        sight = MoveContext(here, there, field.speeds)
         return self.stragglers.judge(job.queue, task, event, sight)
 
 
--- a/src/gapdrum/core/queue_demand.py
+++ b/src/gapdrum/core/queue_demand.py
@@ -99,7 +99,7 @@
         arrivals.decay(now_ms)
         arrivals.note(steps)
 
-    def take_queues(self, queues: Iterable[Queue]) -> None:
+    def set_queues(self, queues: Iterable[Queue]) -> None:
         """Go by a new configuration: a queue that is gone asks for nothing any more."""
         named = {queue.name: queue for queue in queues}
         self._with_shares = {name: queue for name, queue in named.items() if queue.has_own_share}
--- a/src/gapdrum/core/records.py
+++ b/src/gapdrum/core/records.py
@@ -23,7 +23,7 @@
 ENDED_TABLE = "ended"
 LEASE_TABLE = "leases"
 ADDRESS_TABLE = "entries"
-WHOLE_PART = ""
+UNPARTITIONED = ""
 # A part takes 200 transactions a second, one after another; each job needs two. Eight parts
 # carry the 430 jobs a second of the larger deployments with room to spare.
 JOB_PARTS = tuple(str(number) for number in range(8))
@@ -56,12 +56,12 @@
 
 def lease_row(instance: str) -> RowKey:
     """Return where an entry's lease lies."""
-    return RowKey(LEASE_TABLE, WHOLE_PART, instance)
+    return RowKey(LEASE_TABLE, UNPARTITIONED, instance)
 
 
 def address_row(instance: str) -> RowKey:
     """Return where agents find an entry's address."""
-    return RowKey(ADDRESS_TABLE, WHOLE_PART, instance)
+    return RowKey(ADDRESS_TABLE, UNPARTITIONED, instance)
 
 
 @attrs.frozen
--- a/src/gapdrum/core/room_offers.py
+++ b/src/gapdrum/core/room_offers.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from gapdrum.core.models import NOTHING, Resources
+from gapdrum.core.models import ZERO_RESOURCES, Resources
 
 # How long room is kept for the entry that was told of it: an order comes back after 2 to 5 ms.
 # Where work waits at one entry only it is not kept, and who answers later finds room by the
@@ -42,7 +42,7 @@
     def kept_from(self, owner: str, now_ms: int) -> Resources:
         """Return the room that is kept for others than this owner."""
         self._expire(now_ms)
-        kept = NOTHING
+        kept = ZERO_RESOURCES
         for offer in self._offers:
             if offer.owner != owner:
                 kept += offer.room
--- a/src/gapdrum/core/runner_ledger.py
+++ b/src/gapdrum/core/runner_ledger.py
@@ -10,7 +10,7 @@
 import attrs
 
 from gapdrum.core import orders
-from gapdrum.core.models import NOTHING, Resources, RunEnd, RunKey
+from gapdrum.core.models import ZERO_RESOURCES, Resources, RunEnd, RunKey
 from gapdrum.core.records import entry_of_owner
 from gapdrum.core.run_bounds import SILENCE_LIMIT_MS
 from gapdrum.core.run_pace import LEAST_AGE_MS, RECENT_MS, RECENT_RUNS, Pace, usual_permille
@@ -168,7 +168,7 @@
     # Ends that nobody stores, the oldest first; the owner's stream may have failed before it heard
     # of them.
     recent_ends: dict[RunKey, NotedEnd] = attrs.Factory(dict)
-    used: Resources = NOTHING
+    used: Resources = ZERO_RESOURCES
     used_cpu_milli: Counter[str] = attrs.Factory(Counter)  # by queue
     health: RunnerHealth = attrs.Factory(RunnerHealth)
     speed: RunnerSpeed = attrs.Factory(RunnerSpeed)
@@ -195,10 +195,10 @@
         is drained.
         """
         if self.must_lapse() or self.zone_closed:
-            return NOTHING
+            return ZERO_RESOURCES
         known = self.looked and self.reachable and self.capacity is not None
         if not known or self.unknown_runs or (self.health.on_trial and self.runs):
-            return NOTHING
+            return ZERO_RESOURCES
         return self.capacity - self.used
 
     def clock_floor(self, awake_ms: int) -> int:
@@ -289,7 +289,7 @@
         if not self.ends and self.seen_end < ended.number - 1:
             self.seen_end = ended.number - 1  # the runner has forgotten all lower ones
         self.last_end = ended.number
-        run = self.drop(ended.run) or Run(ended.run, UNKNOWN_OWNER, 0, NOTHING, 0, now_ms)
+        run = self.drop(ended.run) or Run(ended.run, UNKNOWN_OWNER, 0, ZERO_RESOURCES, 0, now_ms)
         noted = NotedEnd(ended.run, run.owner, run.epoch, ended.end, now_ms, run.submission)
         self._judge_end(run, ended.end, now_ms)
         noted.stored = not (run.kept and ended.end in (RunEnd.DONE, RunEnd.FAILED))
--- a/src/gapdrum/core/runner_views.py
+++ b/src/gapdrum/core/runner_views.py
@@ -6,7 +6,7 @@
 
 from gapdrum.core import orders
 from gapdrum.core.jobs import Place, Task
-from gapdrum.core.models import NOTHING, Resources
+from gapdrum.core.models import ZERO_RESOURCES, Resources
 
 # An agent that was not heard for this long gets no new work: three beats have been missed.
 QUIET_MS = 3 * orders.BEAT_INTERVAL_MS
@@ -42,25 +42,25 @@
     upstream: str = ""
     state: str = ""
     labels: tuple[str, ...] = ()
-    capacity: Resources = NOTHING
-    reported_free: Resources = NOTHING
+    capacity: Resources = ZERO_RESOURCES
+    reported_free: Resources = ZERO_RESOURCES
     orders_sent: int = 0
     unseen: deque[tuple[int, Resources]] = attrs.Factory(deque)
-    free: Resources = NOTHING
+    free: Resources = ZERO_RESOURCES
     out: set[Task] = attrs.Factory(set)
     synced: bool = False
     slowness_permille: int = 0
     speed_runs: int = 0
     kept_cpu_milli: dict[str, int] = attrs.Factory(dict)  # of the free room, by queue
 
-    def take_report(self, report: orders.RunnerReport) -> None:
+    def apply_report(self, report: orders.RunnerReport) -> None:
         """Take the agent's statement of what the runner is, and its state."""
         self.upstream = report.upstream
         self.state = report.state
         self.labels = report.labels
         self.capacity = report.capacity
 
-    def take_room(self, report: orders.RoomReport) -> None:
+    def apply_room(self, report: orders.RoomReport) -> None:
         """Take the agent's count of room; orders that it includes are no longer counted here."""
         self.reported_free = report.free
         self.slowness_permille = report.slowness_permille
--- a/src/gapdrum/core/stragglers.py
+++ b/src/gapdrum/core/stragglers.py
@@ -38,7 +38,7 @@
 
 
 @attrs.frozen
-class Sight:
+class MoveContext:
     """Where a run is, and where it could go; ``there`` is None if no other runner has room."""
 
     here: RunnerView | None
@@ -65,7 +65,7 @@
 
 
 @attrs.frozen
-class Verdict:
+class MoveDecision:
     """Whether a run is moved, and when it would end from now on; None where that is not known."""
 
     moved: bool
@@ -74,18 +74,20 @@
 
 
 @attrs.define
-class Stragglers:
+class StragglerPolicy:
     """Judges runs that straggle, and counts the moves.
 
-    ``longest_factor`` tells how many times its estimate a task of a queue takes at most, but for
+    ``max_duration_factor`` tells how many times its estimate a task of a queue takes at most, but for
     few: one that would take longer is held up by its runner.
     """
 
     far_factor: float = 1.0
-    longest_factor: Callable[[str], float] = _no_limit
+    max_duration_factor: Callable[[str], float] = _no_limit
     budget: RatioBudget = attrs.Factory(lambda: RatioBudget(MOVE_BUDGET_PERCENT))
 
-    def judge(self, queue: str, task: Task, event: orders.RunEvent, sight: Sight) -> Verdict:
+    def judge(
+        self, queue: str, task: Task, event: orders.RunEvent, sight: MoveContext
+    ) -> MoveDecision:
         """Tell whether a run is placed anew, and count the move."""
         still = event.detail == orders.STANDS_STILL
         here_ms = None if still else event.left_ms
@@ -97,7 +99,7 @@
             moved = sooner and task.moves < MAX_MOVES and self.budget.spend()
         if moved:
             task.moves += 1
-        return Verdict(moved, here_ms, elsewhere_ms)
+        return MoveDecision(moved, here_ms, elsewhere_ms)
 
     def _may_move_still(self, task: Task, still_ms: int) -> bool:
         """Tell whether a run that stands still is placed anew; it would not end where it is."""
@@ -105,7 +107,7 @@
         return may_spend or still_ms >= still_pause_ms(task.moves)
 
     def _expect_elsewhere(
-        self, queue: str, task: Task, event: orders.RunEvent, sight: Sight
+        self, queue: str, task: Task, event: orders.RunEvent, sight: MoveContext
     ) -> int | None:
         """Return how long the task takes at the other runner, from nothing; None if not known."""
         if sight.there is None:
@@ -114,7 +116,7 @@
         if event.left_ms:
             total_ms = event.ran_ms + event.left_ms
             slowed = sight.here_factor(event.others_permille) * self._far(task, sight.here)
-            longest_ms = work_ms * self.longest_factor(queue) if work_ms else math.inf
+            longest_ms = work_ms * self.max_duration_factor(queue) if work_ms else math.inf
             work_ms = min(total_ms / slowed, longest_ms)
         return int(work_ms * sight.there_factor() * self._far(task, sight.there)) + MOVE_MS
 
--- a/src/gapdrum/entry/front.py
+++ b/src/gapdrum/entry/front.py
@@ -5,11 +5,11 @@
 import random
 
 from gapdrum.core.configuration import Queue
-from gapdrum.core.departure import Departure
 from gapdrum.core.dispatch import Dispatch
 from gapdrum.core.jobs import Job, longest_chain_ms
 from gapdrum.core.models import JobState
 from gapdrum.core.records import EndedJob, ended_row, load_record, open_row
+from gapdrum.core.shutdown import PlannedShutdown
 from gapdrum.entry.acceptance import Acceptance, Acceptor
 from gapdrum.entry.admission import Admission
 from gapdrum.entry.configuration_watch import ConfigurationWatch
@@ -66,11 +66,11 @@
         self._lease = lease
         self._log = log
         self.refusals = RefusalCounts(log)
-        self._departure: Departure | None = None
+        self._departure: PlannedShutdown | None = None
 
-    def leave(self, departure: Departure) -> None:
+    def leave(self, shutdown: PlannedShutdown) -> None:
         """Send callers to other entries whose jobs would not end before this process does."""
-        self._departure = departure
+        self._departure = shutdown
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
         """Answer one request."""
@@ -209,7 +209,7 @@
             return self._lease.valid
         chain_ms = longest_chain_ms(job.steps)
         objective_ms = queue.objective_ms(chain_ms)
-        return self._departure.has_time(request.received_ms, chain_ms, objective_ms)
+        return self._departure.accepts_job(request.received_ms, chain_ms, objective_ms)
 
     def _note_refusal(
         self,
--- a/src/gapdrum/entry/lease.py
+++ b/src/gapdrum/entry/lease.py
@@ -11,7 +11,7 @@
 from gapdrum.core.reach import View
 from gapdrum.core.records import (
     LEASE_TABLE,
-    WHOLE_PART,
+    UNPARTITIONED,
     EntryAddress,
     EntryLease,
     QueueDepth,
@@ -182,7 +182,7 @@
 
     async def look(self) -> frozenset[str]:
         """Read all leases, end those that have lapsed, and return the owners that are left."""
-        rows = await self._store.read_all(LEASE_TABLE, WHOLE_PART)
+        rows = await self._store.read_all(LEASE_TABLE, UNPARTITIONED)
         now_ms = self._timers.now_ms()
         seen = {row.at.key: row for row in rows}
         ended = [name for name in self.others if name not in seen]
--- a/src/gapdrum/entry/links.py
+++ b/src/gapdrum/entry/links.py
@@ -128,15 +128,15 @@
             view.clock_ms = message.clock_ms
             self.send(view.agent, self._echo(message.clock_ms))
         elif isinstance(message, orders.RunEvents):
-            dispatch.take_events(view, message, now_ms)
+            dispatch.apply_events(view, message, now_ms)
         elif isinstance(message, orders.RoomReport):
-            dispatch.take_room(view, message)
+            dispatch.apply_room(view, message)
         elif isinstance(message, orders.RunnerReport):
-            dispatch.take_report(view, message, now_ms)
+            dispatch.apply_report(view, message, now_ms)
         elif isinstance(message, orders.Holdings):
             dispatch.take_holdings(view, message, now_ms)
         elif isinstance(message, orders.JobLost):
-            dispatch.lose_job(message)
+            dispatch.drop_claimed_job(message)
         elif isinstance(message, orders.ZoneDrainsTold):
             self.zones.take_told(message, source=view.agent)
         elif isinstance(message, orders.AgentLeaving):
--- a/src/gapdrum/entry/program.py
+++ b/src/gapdrum/entry/program.py
@@ -9,10 +9,10 @@
 from gapdrum.background import Background
 from gapdrum.core import orders
 from gapdrum.core.configuration import Configuration
-from gapdrum.core.departure import Departure
 from gapdrum.core.dispatch import build_dispatch
 from gapdrum.core.endpoints import Endpoint
 from gapdrum.core.jobs import Job, Place
+from gapdrum.core.planned_shutdown import PlannedShutdown
 from gapdrum.core.reach import Reach, View
 from gapdrum.core.records import EntryAddress
 from gapdrum.entry.acceptance import Acceptor
@@ -143,7 +143,7 @@
         gauges["agents_connected"] = lambda: self.links.connected
         gauges["runners_seen"] = lambda: len(self.dispatch.fleet.runners)
         gauges["free_cpu_milli"] = self.dispatch.fleet.free_cpu_milli
-        gauges["runners_of_uneven_speed"] = self.dispatch.placer.count_uneven
+        gauges["runners_of_uneven_speed"] = self.dispatch.placer.count_uneven_runners
         gauges["lease_held"] = lambda: self.lease.valid
         gauges["store_up"] = lambda: self.store.up
         gauges["configuration_version"] = self._configuration_version
@@ -192,7 +192,7 @@
         """Tell the callers of a job that it has not run and will not."""
         self.callers.refuse(job)
 
-    def foreign_end(self, place: Place, event: orders.RunEvent) -> None:
+    def on_unowned_end(self, place: Place, event: orders.RunEvent) -> None:
         """Find out about an end of another's job."""
         self.endings.take_foreign_end(place, event)
 
@@ -200,7 +200,7 @@
         """Tell whether a job is known to have ended."""
         return self.endings.known_state(job_id) is not None
 
-    def place_soon(self) -> None:
+    def schedule_placement(self) -> None:
         """Place what waits at the end of this turn of the loop."""
         if not self._placing:
             self._placing = True
@@ -229,7 +229,7 @@
         self.limits.max_body_bytes = configuration.max_body_bytes
         self.limits.header_timeout_ms = configuration.header_timeout_ms
         self.limits.idle_timeout_ms = configuration.idle_timeout_ms
-        self.dispatch.placer.meter.take_queues(configuration.queues)
+        self.dispatch.placer.meter.set_queues(configuration.queues)
         for job in self.dispatch.jobs.values():
             queue = configuration.queue_named(job.queue)
             if queue is not None:
@@ -239,7 +239,7 @@
         """Place nothing more in drained zones, and tell the agents."""
         self.dispatch.fleet.closed_zones = self.zones.drains.zones
         self.links.broadcast(self.zones.drains_told())
-        self.place_soon()
+        self.schedule_placement()
 
     def _lose_lease(self) -> None:
         """Let go of everything: another entry has ended this life and owns the jobs."""
@@ -265,9 +265,9 @@
         now_ms = self.timers.now_ms()
         self.callers.tick()
         self.dispatch.check_silence(now_ms)
-        self.dispatch.settle_unknown(now_ms)
+        self.dispatch.requeue_unknown_tasks(now_ms)
         self._place_waiting()
-        self.dispatch.refuse_hopeless(now_ms)
+        self.dispatch.refuse_unmeetable(now_ms)
 
     def _view_agents(self) -> View:
         fleet = self.dispatch.fleet
@@ -336,7 +336,7 @@
         self.log.write("stopping", open=len(self.dispatch.jobs))
         end_ms = began_ms + self.boot.shutdown_ms
         answered_ms = end_ms - ANSWER_BEFORE_END_MS
-        self.front.leave(Departure(answered_ms, self.boot.resubmit_ms))
+        self.front.leave(PlannedShutdown(answered_ms, self.boot.resubmit_ms))
         self.listener.start_closing()
         await asyncio.sleep(KEEP_SERVING_MS / MS_PER_S)
         self.listener.close_idle()
--- a/src/gapdrum/entry/takeover.py
+++ b/src/gapdrum/entry/takeover.py
@@ -139,7 +139,7 @@
         now_ms = self._timers.now_ms()
         queue = self._configuration.current.queue_named(record.queue)
         job = job_of_queue(job_id, record, version, queue, now_ms)
-        job.unknown_until_ms = now_ms + SILENCE_LIMIT_MS
+        job.unknown_deadline_ms = now_ms + SILENCE_LIMIT_MS
         for task in job.tasks:
             task.phase = TaskPhase.UNKNOWN
         if progress is not None:
@@ -169,5 +169,5 @@
         return tuple(
             JobEpoch(job.job_id, job.epoch)
             for job in self._dispatch.jobs.values()
-            if job.kept and job.unknown_until_ms
+            if job.kept and job.unknown_deadline_ms
         )
--- a/src/gapdrum/entry/waiting_callers.py
+++ b/src/gapdrum/entry/waiting_callers.py
@@ -89,7 +89,7 @@
         if job_id not in self._dispatch.jobs:
             self._begin(job_id, queue, spec, steps, caller)
         else:
-            self._dispatch.jobs[job_id].wait_for_caller(caller.until_ms)
+            self._dispatch.jobs[job_id].extend_caller_deadline(caller.until_ms)
         if caller.until_ms is not None:
             self._waits[over] = caller.until_ms
         await asyncio.wait(
@@ -132,7 +132,7 @@
         now_ms = self._timers.now_ms()
         record = first_record(queue, spec, steps, self._lease.owner, self._timers.wall_ms())
         job = job_of_queue(job_id, record, 0, queue, now_ms, kept=False)
-        job.wait_until_ms = caller.until_ms
+        job.caller_deadline_ms = caller.until_ms
         job.submission = 1 + secrets.randbits(SUBMISSION_BITS)
         self._log.write(
             "job_begun",
--- a/tools/load_policies.py
+++ b/tools/load_policies.py
@@ -29,10 +29,10 @@
 )
 from gapdrum.core import room_shares as core_room_shares
 from gapdrum.core import subsets as core_subsets
-from gapdrum.core.placement_rules import Standing
+from gapdrum.core.placement_rules import PriorityClass
 from gapdrum.core.placer import Placer
 from gapdrum.core.room_offers import RoomOffers
-from gapdrum.core.stragglers import Stragglers, Verdict
+from gapdrum.core.stragglers import MoveDecision, StragglerPolicy
 from gapdrum.entry import admission
 
 Patches = list[Any]
@@ -72,7 +72,7 @@
 @switch
 def begun_first() -> Patches:
     """Let jobs that have begun wait like new ones."""
-    return [mock.patch.object(placement_rules, "standing_of", lambda *_: Standing.NEW)]
+    return [mock.patch.object(placement_rules, "priority_class", lambda *_: PriorityClass.NEW)]
 
 
 @switch
@@ -86,7 +86,7 @@
     """Let new jobs wait in the order in which they came."""
 
     def order(job: jobs.Job, now_ms: int) -> tuple:
-        return (placement_rules.standing_of(job, now_ms), job.accepted_ms, job.job_id)
+        return (placement_rules.priority_class(job, now_ms), job.accepted_ms, job.job_id)
 
     return [mock.patch.object(placer, "waiting_order", order)]
 
@@ -146,7 +146,9 @@
 @switch
 def waiting_for_better() -> Patches:
     """Start tasks where they end late as well, if there is room."""
-    return [mock.patch.object(expected_end.Outlook, "is_worth_waiting", lambda *_: False)]
+    return [
+        mock.patch.object(expected_end.CompletionForecast, "is_worth_waiting", lambda *_: False)
+    ]
 
 
 @switch
@@ -170,7 +172,7 @@
 @switch
 def moves() -> Patches:
     """Leave runs where they straggle."""
-    return [mock.patch.object(Stragglers, "judge", lambda *_: Verdict(False, None, None))]
+    return [mock.patch.object(StragglerPolicy, "judge", lambda *_: MoveDecision(False, None, None))]
 
 
 @switch
@@ -211,7 +213,7 @@
 
 def _order_by(key: Callable[[jobs.Job], float]) -> Callable[[jobs.Job, int], tuple]:
     def order(job: jobs.Job, now_ms: int) -> tuple:
-        return (placement_rules.standing_of(job, now_ms), key(job), job.accepted_ms, job.job_id)
+        return (placement_rules.priority_class(job, now_ms), key(job), job.accepted_ms, job.job_id)
 
     return order
 
@@ -288,7 +290,7 @@
 
     def place_whole(self, job, field, now_ms):
         ready = job.ready_tasks()
-        if job.untouched and ready:
+        if job.is_unstarted and ready:
             need = ready[0].step.resources.cpu_milli
             room = sum(max(0, view.free.cpu_milli) // need for view in field.with_room)
             if room < len(ready):
--- a/tools/load_replay.py
+++ b/tools/load_replay.py
@@ -173,11 +173,11 @@
             view.clock_ms = message.clock_ms
             self.send(agent.name, orders.BeatEcho(message.clock_ms, True, True))
         elif isinstance(message, orders.RunEvents):
-            self.dispatch.take_events(view, message, now_ms)
+            self.dispatch.apply_events(view, message, now_ms)
         elif isinstance(message, orders.RoomReport):
-            self.dispatch.take_room(view, message)
+            self.dispatch.apply_room(view, message)
         elif isinstance(message, orders.RunnerReport):
-            self.dispatch.take_report(view, message, now_ms)
+            self.dispatch.apply_report(view, message, now_ms)
         elif isinstance(message, orders.Holdings):
             self.dispatch.take_holdings(view, message, now_ms)
 
@@ -209,7 +209,7 @@
         """Tell that nothing is known of jobs that are gone."""
         return False
 
-    def foreign_end(self, place: object, event: object) -> None:
+    def on_unowned_end(self, place: object, event: object) -> None:
         """Pass over ends of jobs that are gone."""
 
     def note(self, event: str, **fields: object) -> None:
@@ -220,7 +220,7 @@
         if fields.get("moved"):
             self.fleet.log.events[f"{event}: moved"] += 1
 
-    def place_soon(self) -> None:
+    def schedule_placement(self) -> None:
         """Place at the end of this turn."""
         if not self._placing:
             self._placing = True
@@ -238,7 +238,7 @@
         now_ms = self.timers.now_ms()
         self.dispatch.check_silence(now_ms)
         self._place_waiting()
-        self.dispatch.refuse_hopeless(now_ms)
+        self.dispatch.refuse_unmeetable(now_ms)
 
     # Callers.
 
--- a/tools/planted.py
+++ b/tools/planted.py
@@ -13,7 +13,7 @@
 from gapdrum.agent.grants import Grants
 from gapdrum.core import fleet
 from gapdrum.core.jobs import Job
-from gapdrum.core.models import NOTHING
+from gapdrum.core.models import ZERO_RESOURCES
 from gapdrum.core.run_bounds import RunBounds
 from gapdrum.core.runner_ledger import RunnerLedger
 from gapdrum.core.zone_drains import ZoneDrains
@@ -33,7 +33,7 @@
 @mechanism
 def room() -> None:
     """Take all room for free, at agents."""
-    RunnerLedger.free = property(lambda self: self.capacity or NOTHING)
+    RunnerLedger.free = property(lambda self: self.capacity or ZERO_RESOURCES)
 
 
 @mechanism
@@ -107,14 +107,14 @@
 @mechanism
 def identity() -> None:
     """Take an event for a waiting caller's run whatever runner it comes from."""
-    Job.knows_run = lambda *_arguments: True
+    Job.owns_run = lambda *_arguments: True
 
 
 @mechanism
 def submission() -> None:
     """Take what is told of an earlier submission's run for the present one's."""
-    knows_run = Job.knows_run
-    Job.knows_run = lambda self, task, attempt, place, *_told: knows_run(
+    owns_run = Job.owns_run
+    Job.owns_run = lambda self, task, attempt, place, *_told: owns_run(
         self, task, attempt, place, self.submission, ""
     )
 
