--- a/features/steps/late_claim_steps.py
+++ b/features/steps/late_claim_steps.py
@@ -48,13 +48,13 @@
         )
         if passed_ms % orders.BEAT_INTERVAL_MS == 0:
             pair.echo()
-        pair.look()
+        pair.poll()
 
 
 @when("the entry loses its lease while its stream is down, and joins under another name")
 def joins_renamed(context):
     pair = context.pair
-    context.word_ms = pair.timers.now_ms()
+    context.last_echo_ms = pair.timers.now_ms()
     pair.part()
     pair.timers.time_ms += 200
     context.planned = PlannedTimers(pair.timers.time_ms)
@@ -82,7 +82,10 @@
 @then("all runs were stopped {time_ms:d} ms after the owner's last word at the latest")
 def stopped_in_time(context, time_ms):
     first_ms = min(context.stops)
-    assert first_ms - context.word_ms <= time_ms + STEP_MS, (context.stops, context.word_ms)
+    assert first_ms - context.last_echo_ms <= time_ms + STEP_MS, (
+        context.stops,
+        context.last_echo_ms,
+    )
     assert {run.stopping for run in context.runs} == {True}
 
 
@@ -109,7 +112,7 @@
     pair = context.pair
     pair.part()
     context.runner.end(context.keys[0], RunEnd.DONE)
-    pair.look()
+    pair.poll()
     pair.timers.time_ms += 200
     if "another name" in more:
         pair.join(RENAMED, (OWNER,))
--- a/features/steps/lost_answer_steps.py
+++ b/features/steps/lost_answer_steps.py
@@ -11,10 +11,10 @@
 from gapdrum.agent.runner_keeper import RunnerKeeper
 from gapdrum.core import orders
 from gapdrum.core.endpoints import Endpoint
-from gapdrum.core.look_schedule import LookSchedule
 from gapdrum.core.models import Resources, RunEnd, RunKey, TaskName
+from gapdrum.core.poll_schedule import PollSchedule
 from gapdrum.core.runner_ledger import Run
-from gapdrum.core.runner_models import EndedRun, RunnerLook, RunningTask
+from gapdrum.core.runner_models import EndedRun, RunnerSnapshot, RunningTask
 from gapdrum.platform.runner_calls import RunnerReplacedError
 from gapdrum.transport.http_client import TimedOutError
 
@@ -85,9 +85,9 @@
             for key, begin_ms in self.begun.items()
             if begin_ms <= now_ms and key not in ended
         ]
-        return RunnerLook(now_ms, tuple(running), tuple(rows))
+        return RunnerSnapshot(now_ms, tuple(running), tuple(rows))
 
-    async def look(self, until_ms, seen, fence, wait_ms, timeout_ms):
+    async def poll(self, until_ms, seen, fence, wait_ms, timeout_ms):
         began_ms = self.loop.now_ms()
         if fence:
             self.looks.append(began_ms)
@@ -177,7 +177,7 @@
 def answers_late(context):
     new_keeper(context, lambda number: False)
     context.runner.late_ms = 20
-    context.keeper._context.schedule.note_lost(BEGIN_MS)
+    context.keeper._context.schedule.record_lost_answer(BEGIN_MS)
 
 
 def add_run(context, number, begin_ms, end_ms):
@@ -303,8 +303,8 @@
 
 @given("two looks under way, the newer of which is answered first")
 def newer_taken(context):
-    context.schedule = schedule = LookSchedule()
-    schedule.note_lost(0)
+    context.schedule = schedule = PollSchedule()
+    schedule.record_lost_answer(0)
     context.older, context.newer = schedule.begin(200, 0), schedule.begin(200, 25)
     assert schedule.is_news(context.newer.number, 40)
 
@@ -338,15 +338,15 @@
     add_run(context, 0, BEGIN_MS, 60_000)
     play(context, 1_000)
     context.silent = True
-    context.word_ms = context.grants.word_ms(OWNER, False)
+    context.last_echo_ms = context.grants.last_echo_ms(OWNER, False)
     play(context, time_ms)
 
 
 @then("no lease was asked for beyond {time_ms:d} ms after the owner's last word")
 def lease_bounded(context, time_ms):
     latest_ms = max(context.runner.renewals)
-    assert latest_ms <= context.word_ms + time_ms, (latest_ms, context.word_ms)
-    assert latest_ms > context.word_ms, "nothing was renewed"
+    assert latest_ms <= context.last_echo_ms + time_ms, (latest_ms, context.last_echo_ms)
+    assert latest_ms > context.last_echo_ms, "nothing was renewed"
 
 
 @when("another incarnation answers after {time_ms:d} ms")
--- a/features/steps/other_writer_steps.py
+++ b/features/steps/other_writer_steps.py
@@ -410,11 +410,11 @@
     asyncio.run(store.watch("t", 1, 100))
 
 
-def look(body):
+def poll(body):
     calls = RunnerCalls(STORE, "i-2")
     calls._client = FixedClient(body)
-    seen = asyncio.run(calls.look(0, 0, 1, 0, 100))
-    RunnerLedger("i-2", capacity=Resources(1)).take_look(seen, 10)
+    seen = asyncio.run(calls.poll(0, 0, 1, 0, 100))
+    RunnerLedger("i-2", capacity=Resources(1)).apply_snapshot(seen, 10)
 
 
 def load_any(value):
@@ -438,7 +438,7 @@
         as_json(spoiled(GOOD_CONFIGURATION)),
     ),
     "jobs": (decode_job, as_json(spoiled(GOOD_JOB_BODY))),
-    "looks": (look, as_json(spoiled(GOOD_LOOK))),
+    "looks": (poll, as_json(spoiled(GOOD_LOOK))),
     "records": (
         load_any,
         st.one_of([spoiled(plain(record)) for record in RECORDS]).map(
--- a/features/steps/platform_core_steps.py
+++ b/features/steps/platform_core_steps.py
@@ -44,8 +44,8 @@
 )
 from gapdrum.core.run_bounds import SILENCE_LIMIT_MS, RunBounds
 from gapdrum.core.runner_health import RunnerHealth
-from gapdrum.core.runner_ledger import UNKNOWN_OWNER, NotedEnd, Run, RunnerLedger
-from gapdrum.core.runner_models import EndedRun, RunnerLook, RunningTask
+from gapdrum.core.runner_ledger import UNKNOWN_OWNER, ListedEnd, Run, RunnerLedger
+from gapdrum.core.runner_models import EndedRun, RunnerSnapshot, RunningTask
 from gapdrum.core.runner_views import AgentView, RunnerView
 from gapdrum.entry.acceptance import Acceptance, Acceptor
 from gapdrum.entry.lease import Lease
@@ -77,7 +77,7 @@
 @given("a ledger of a runner with {cpu:d} thousandths of a core")
 def new_ledger(context, cpu):
     context.ledger = RunnerLedger("i-1", capacity=Resources(cpu, 100, 0))
-    context.ledger.take_look(RunnerLook(10, (), ()), 0)
+    context.ledger.apply_snapshot(RunnerSnapshot(10, (), ()), 0)
     context.told = []
 
 
@@ -92,19 +92,19 @@
     context.run.calling = False
 
 
-def look(context, clock, running=(), ended=()):
-    shown = RunnerLook(clock, tuple(running), tuple(ended))
-    context.told += [event for _, event in context.ledger.take_look(shown, clock)]
+def poll(context, clock, running=(), ended=()):
+    shown = RunnerSnapshot(clock, tuple(running), tuple(ended))
+    context.told += [event for _, event in context.ledger.apply_snapshot(shown, clock)]
 
 
 @when("a look at {clock:d} shows nothing")
 def look_empty(context, clock):
-    look(context, clock)
+    poll(context, clock)
 
 
 @when("a look at {clock:d} shows the run at work")
 def look_running(context, clock):
-    look(context, clock, running=[RunningTask(RUN, 5)])
+    poll(context, clock, running=[RunningTask(RUN, 5)])
 
 
 @when("a look at {clock:d} shows the ends {first:d}, {second:d} and {third:d} of stored jobs")
@@ -113,7 +113,7 @@
         EndedRun(number, RunKey(TaskName(JOB, 0, 0, number), 1), RunEnd.DONE)
         for number in (first, second, third)
     ]
-    look(context, clock, ended=ends)
+    poll(context, clock, ended=ends)
 
 
 @when("the owner adopts the run with {cpu:d}")
@@ -123,17 +123,17 @@
 
 @when("the ends {first:d} and {second:d} are stored")
 def ends_stored(context, first, second):
-    context.ledger.store_ends((first, second), ())
+    context.ledger.mark_ends_stored((first, second), ())
 
 
 @when("the end {number:d} was outrun")
 def end_outrun(context, number):
-    context.ledger.store_ends((), (number,))
+    context.ledger.mark_ends_stored((), (number,))
 
 
 @when("the lease has lapsed")
 def lapse(context):
-    context.ledger.note_lapse()
+    context.ledger.record_lapse()
 
 
 @then("the free room is {cpu:d}")
@@ -149,20 +149,20 @@
 
 @then("ends up to {number:d} may be forgotten")
 def forgotten(context, number):
-    assert context.ledger.advance_seen() == number, context.ledger.seen_end
+    assert context.ledger.advance_acknowledged() == number, context.ledger.acknowledged_end
 
 
 @then("the lease must lapse, and ends up to {number:d} may be forgotten")
 def lapse_needed(context, number):
-    assert context.ledger.must_lapse()
+    assert context.ledger.awaits_lapse()
     forgotten(context, number)
 
 
 @when("{later:d} ms later a look at {clock:d} shows {percent:d} percent of it")
 def look_later(context, later, clock, percent):
-    shown = RunnerLook(clock, (RunningTask(RUN, percent),), ())
-    context.ledger.note_started(context.ledger.runs[RUN], 0)
-    context.told += [event for _, event in context.ledger.take_look(shown, later)]
+    shown = RunnerSnapshot(clock, (RunningTask(RUN, percent),), ())
+    context.ledger.mark_started(context.ledger.runs[RUN], 0)
+    context.told += [event for _, event in context.ledger.apply_snapshot(shown, later)]
 
 
 @then("the run is not told as straggling")
@@ -200,25 +200,25 @@
 @when("it fails {count:d} runs at {time:d}")
 def fail_runs(context, count, time):
     for _ in range(count):
-        context.health.note_strike(time)
+        context.health.record_run_failure(time)
 
 
 @when("it does a run at {time:d}")
 def do_run(context, time):
-    context.health.note_done()
+    context.health.record_run_success()
 
 
 @then("it rests at {first:d} and at {second:d}, and is on trial at {third:d}")
 def rests(context, first, second, third):
-    assert context.health.is_resting(first)
-    assert context.health.is_resting(second)
-    assert not context.health.is_resting(third)
-    assert context.health.on_trial
+    assert context.health.is_ejected(first)
+    assert context.health.is_ejected(second)
+    assert not context.health.is_ejected(third)
+    assert context.health.half_open
 
 
 @then("it does not rest at {time:d}")
 def not_resting(context, time):
-    assert not context.health.is_resting(time)
+    assert not context.health.is_ejected(time)
 
 
 # The owner's dispatch.
@@ -400,13 +400,13 @@
 @when("the agent is silent until just before the limit")
 def silent_before(context):
     context.now_ms += SILENCE_LIMIT_MS
-    context.dispatch.check_silence(context.now_ms)
+    context.dispatch.expire_silent(context.now_ms)
 
 
 @when("the agent is silent beyond the limit")
 def silent_beyond(context):
     context.now_ms += 1
-    context.dispatch.check_silence(context.now_ms)
+    context.dispatch.expire_silent(context.now_ms)
 
 
 @when("the agent's next life joins and tells of no runner")
@@ -428,7 +428,7 @@
 def silent_before_with_beat(context, time_ms):
     context.now_ms += time_ms
     context.view.heard_ms = context.now_ms
-    context.dispatch.check_silence(context.now_ms)
+    context.dispatch.expire_silent(context.now_ms)
 
 
 @when('the end "{end}" of attempt {attempt:d} is told twice')
@@ -514,10 +514,12 @@
 
 @then("the agent is told that the end was outrun")
 def told_outrun(context):
-    outrun = [
-        message.outrun for message in context.outside.sent if isinstance(message, orders.EndsStored)
+    superseded = [
+        message.superseded
+        for message in context.outside.sent
+        if isinstance(message, orders.EndsStored)
     ]
-    assert (1,) in outrun, context.outside.sent
+    assert (1,) in superseded, context.outside.sent
 
 
 # What an agent refuses.
@@ -526,7 +528,7 @@
 def new_starts(context, capacity, draining=False):
     timers = ManualTimers()
     ledger = RunnerLedger("i-1", capacity=Resources(capacity, 100, 0), draining=draining)
-    ledger.take_look(RunnerLook(10, (), ()), 0)
+    ledger.apply_snapshot(RunnerSnapshot(10, (), ()), 0)
     grants = Grants(BOUNDS)
     grants.note(OWNER, timers.now_ms(), True)
     calls = RunnerCalls(Endpoint("127.0.0.1", 1), "i-1")
@@ -565,12 +567,12 @@
         self.unanswered = unanswered
         self.looks = 0
 
-    async def look(self, _until_ms, _seen, fence, _wait_ms, _timeout_ms):
+    async def poll(self, _until_ms, _seen, fence, _wait_ms, _timeout_ms):
         await asyncio.sleep(0.001)
         self.looks += 1
         if fence and self.unanswered(self.looks):
             raise NoReplyError("reset")
-        return RunnerLook(self.looks, (), ())
+        return RunnerSnapshot(self.looks, (), ())
 
     def close(self):
         pass
@@ -599,12 +601,12 @@
 @given("a keeper of a runner that leaves its second look unanswered")
 def second_unanswered(context):
     # The very first call only learns the runner's clock.
-    new_keeper(context, lambda look: look == 3)
+    new_keeper(context, lambda poll: poll == 3)
 
 
 @given("a keeper of a runner that leaves three looks in a row unanswered")
 def three_unanswered(context):
-    new_keeper(context, lambda look: 3 <= look <= 5)
+    new_keeper(context, lambda poll: 3 <= poll <= 5)
 
 
 class TellingLinks(list):
@@ -627,7 +629,7 @@
         context.links.append(link)
     new_keeper(context, lambda _look: False)
     context.keeper.ledger.upstream = "inspect-desk"
-    context.keeper.ledger.looked = True
+    context.keeper.ledger.polled = True
     context.reports = Reports(context.links, {"i-1": context.keeper}, ManualTimers())
 
 
@@ -686,8 +688,8 @@
     end = RunEnd.DONE if ended == "ended as done" else RunEnd.STOPPED
     ledger = context.keeper.ledger
     ledger.begin(Run(RUN, "former/life", 1, Resources(500), 0, 0, phase=orders.HELD_RUNNING))
-    ledger.take_look(RunnerLook(10, (), (EndedRun(1, RUN, end),)), 10)
-    ledger.advance_seen()
+    ledger.apply_snapshot(RunnerSnapshot(10, (), (EndedRun(1, RUN, end),)), 10)
+    ledger.advance_acknowledged()
 
 
 @when('entry "{entry}" adopts the run')
@@ -760,9 +762,11 @@
 @then("its room is held until the expiry that the runner was told")
 def room_held(context):
     ledger = context.starts.ledger
-    ledger.take_look(RunnerLook(context.calls.expires_ms, (), ()), context.timers.now_ms())
+    ledger.apply_snapshot(RunnerSnapshot(context.calls.expires_ms, (), ()), context.timers.now_ms())
     assert context.run.key in ledger.runs, "the room was given back before"
-    ledger.take_look(RunnerLook(context.calls.expires_ms + 1, (), ()), context.timers.now_ms())
+    ledger.apply_snapshot(
+        RunnerSnapshot(context.calls.expires_ms + 1, (), ()), context.timers.now_ms()
+    )
     assert context.run.key not in ledger.runs
 
 
@@ -862,7 +866,7 @@
 
 @then('a look at a runner fails as "{code}"')
 def look_fails(context, code):
-    found = call_malformed(context, lambda at: RunnerCalls(at, "i").look(0, 0, 0, 0, 1_000))
+    found = call_malformed(context, lambda at: RunnerCalls(at, "i").poll(0, 0, 0, 0, 1_000))
     assert found == code, found
 
 
@@ -1187,20 +1191,20 @@
 
 @then("the first entry still counts it as an owner")
 def still_owner(context):
-    owners = asyncio.run(context.first.look())
+    owners = asyncio.run(context.first.poll())
     assert context.second_owner in owners, owners
 
 
 @then("the first entry has ended its lease")
 def lease_ended(context):
-    owners = asyncio.run(context.first.look())
+    owners = asyncio.run(context.first.poll())
     assert context.second_owner not in owners, owners
 
 
 @then("the second entry learns at its next renewal that it lost its lease")
 def lease_lost(context):
     lost = []
-    context.second.on_lost = lambda: lost.append(True)
+    context.second.on_answer_lost = lambda: lost.append(True)
     asyncio.run(context.second.keep())
     assert lost
     assert not context.second.valid
@@ -1334,7 +1338,7 @@
 def stray_end(context, age_ms):
     ledger = context.keeper.ledger
     now_ms = context.reports._timers.now_ms()
-    ledger.ends = {1: NotedEnd(RUN, UNKNOWN_OWNER, 0, RunEnd.DONE, now_ms - age_ms)}
+    ledger.ends = {1: ListedEnd(RUN, UNKNOWN_OWNER, 0, RunEnd.DONE, now_ms - age_ms)}
     context.reports.tell_orphans()
 
 
--- a/features/steps/resubmission_steps.py
+++ b/features/steps/resubmission_steps.py
@@ -15,7 +15,7 @@
 
 from gapdrum.agent.entry_links import EntryLink
 from gapdrum.agent.program import Agent
-from gapdrum.agent.runner_keeper import LOOK_WAIT_MS, RunnerKeeper
+from gapdrum.agent.runner_keeper import POLL_WAIT_MS, RunnerKeeper
 from gapdrum.agent.runner_starts import START_WINDOW_MS
 from gapdrum.core import orders
 from gapdrum.core.endpoints import Endpoint
@@ -23,7 +23,7 @@
 from gapdrum.core.orders import BEAT_INTERVAL_MS
 from gapdrum.core.records import EntryAddress
 from gapdrum.core.run_bounds import RESTART_ALLOWANCE_MS
-from gapdrum.core.runner_models import RunnerLook, RunningTask
+from gapdrum.core.runner_models import RunnerSnapshot, RunningTask
 from gapdrum.event_log import EventLog
 from gapdrum.platform.boot import Boot, StoreLimits
 from gapdrum.timers import Timers
@@ -121,9 +121,9 @@
         self.running = running
         self.renewals = []
 
-    async def look(self, until_ms, _seen, _fence, _wait_ms, _timeout_ms):
+    async def poll(self, until_ms, _seen, _fence, _wait_ms, _timeout_ms):
         self.renewals.append(until_ms)
-        return RunnerLook(self.read_clock(), self.running, ())
+        return RunnerSnapshot(self.read_clock(), self.running, ())
 
 
 class FakeStream:
@@ -228,15 +228,15 @@
     context.agent.orders.take(context.link, order)
     (run,) = context.runs
     run.calling = False
-    context.keeper.ledger.note_started(run, context.timers.now_ms())
+    context.keeper.ledger.mark_started(run, context.timers.now_ms())
     context.runner.running = (RunningTask(RUN, 5),)
     context.since_ms = context.timers.now_ms()
 
 
 def let_time_pass(context, time_ms):
     """Let the owner echo each beat, and the keeper look, which the runner always shows at work."""
-    for _ in range(0, time_ms, LOOK_WAIT_MS):
-        context.timers.time_ms += LOOK_WAIT_MS
+    for _ in range(0, time_ms, POLL_WAIT_MS):
+        context.timers.time_ms += POLL_WAIT_MS
         echo(context)
         step(context)
 
--- a/features/steps/run_bounds_steps.py
+++ b/features/steps/run_bounds_steps.py
@@ -20,9 +20,9 @@
 
 def over_ms(context, kept):
     """Return when a run is over at the latest after its owner's last word, in real time."""
-    hold_ms = context.bounds.hold_ms(kept)
+    lease_duration_ms = context.bounds.lease_duration_ms(kept)
     lease_ms = context.bounds.lease_ms(context.lease_ms)
-    return hold_ms - lease_ms + lease_ms / CLOCK_RATE_FLOOR + RUNNER_STOP_MS
+    return lease_duration_ms - lease_ms + lease_ms / CLOCK_RATE_FLOOR + RUNNER_STOP_MS
 
 
 @then(
--- a/features/steps/run_ownership_steps.py
+++ b/features/steps/run_ownership_steps.py
@@ -17,7 +17,7 @@
 from gapdrum.core.models import JobState, Resources, RunEnd, RunKey, Step, TaskName
 from gapdrum.core.planned_shutdown import PlannedShutdown
 from gapdrum.core.runner_ledger import CLOCK_RATE_FLOOR
-from gapdrum.core.runner_models import EndedRun, RunnerLook, RunningTask
+from gapdrum.core.runner_models import EndedRun, RunnerSnapshot, RunningTask
 from gapdrum.entry.admission import Overload
 from gapdrum.entry.front import Front
 from gapdrum.entry.waiting_callers import Caller, WaitingCallers
@@ -192,7 +192,7 @@
         timers.suspend(time_ms)
         context.now_ms = timers.now_ms()
         context.outside.sent.clear()
-        context.dispatch.check_silence(context.now_ms)
+        context.dispatch.expire_silent(context.now_ms)
         await asyncio.sleep(0.2)  # the entry has been awake for 200 ms
         join(context)
         hold_nothing(context)
@@ -243,8 +243,8 @@
     order = orders.StartOrder("i-1", JOB, 1, "{}", context.timers.now_ms(), False, (row,))
     context.agent.orders.take(other, order)
     ended = EndedRun(1, RUN, RunEnd.STOPPED)
-    look = SimpleNamespace(clock_ms=context.timers.now_ms() + 5, running=(), ended=(ended,))
-    context.keeper._take_look(look)
+    poll = SimpleNamespace(clock_ms=context.timers.now_ms() + 5, running=(), ended=(ended,))
+    context.keeper._apply_snapshot(poll)
 
 
 @then("no room is taken")
@@ -391,8 +391,8 @@
     async def start(*_arguments):
         calls.append(1)
         if len(calls) == shown_at:
-            look = RunnerLook(context.timers.now_ms(), (RunningTask(RUN, 5),), ())
-            context.agent.reports.report(context.keeper, context.keeper._take_look(look))
+            poll = RunnerSnapshot(context.timers.now_ms(), (RunningTask(RUN, 5),), ())
+            context.agent.reports.report(context.keeper, context.keeper._apply_snapshot(poll))
         if len(calls) == 1:
             raise NoReplyError("lost")
         raise RunnerRejectedError(409, "late", context.timers.now_ms() + 701)
@@ -422,9 +422,9 @@
 
 @when("an order for a waiting caller comes whose clock is {age_ms:d} ms old, and then nothing more")
 def order_comes(context, age_ms):
-    context.word_ms = context.timers.now_ms() - age_ms
+    context.last_echo_ms = context.timers.now_ms() - age_ms
     row = orders.OrderedRun(0, 0, 1, 500, 10, 0, 100)
-    order = orders.StartOrder("i-1", JOB, 1, "{}", context.word_ms, False, (row,))
+    order = orders.StartOrder("i-1", JOB, 1, "{}", context.last_echo_ms, False, (row,))
     context.agent.orders.take(context.link, order)
     assert len(context.runs) == 1
 
@@ -439,15 +439,15 @@
 @then("the runner ends that run by itself {time_ms:d} ms after its owner's word")
 def ends_by_itself(context, time_ms):
     ends_ms = max([*context.runner.renewals, context.runs[0].start_expires_ms])
-    assert ends_ms - context.word_ms <= time_ms, ends_ms - context.word_ms
+    assert ends_ms - context.last_echo_ms <= time_ms, ends_ms - context.last_echo_ms
 
 
 @when("its stream ends, the run ends as done, and the same owner joins again {time_ms:d} ms later")
 def done_meanwhile(context, time_ms):
     context.agent.links._end_stream(context.link)
     ended = EndedRun(1, RUN, RunEnd.DONE)
-    look = RunnerLook(context.timers.now_ms(), (), (ended,))
-    context.agent.reports.report(context.keeper, context.keeper._take_look(look))
+    poll = RunnerSnapshot(context.timers.now_ms(), (), (ended,))
+    context.agent.reports.report(context.keeper, context.keeper._apply_snapshot(poll))
     context.timers.time_ms += time_ms
     base.join(context)
 
--- a/features/steps/straggler_steps.py
+++ b/features/steps/straggler_steps.py
@@ -8,7 +8,7 @@
 from gapdrum.core.jobs import Place, TaskPhase
 from gapdrum.core.models import Resources, RunEnd, RunKey, Step, TaskName
 from gapdrum.core.runner_ledger import Run
-from gapdrum.core.runner_models import RunnerLook, RunningTask
+from gapdrum.core.runner_models import RunnerSnapshot, RunningTask
 
 ESTIMATE_MS = 500
 BEGIN_MS = 100
@@ -35,7 +35,7 @@
     for key in context.pace_ms:
         run = Run(key, OWNER, 1, Resources(500), 0, BEGIN_MS, estimate_ms=ESTIMATE_MS)
         context.ledger.begin(run)
-        context.ledger.note_started(run, BEGIN_MS)
+        context.ledger.mark_started(run, BEGIN_MS)
 
 
 @given("all are of one job")
@@ -52,8 +52,8 @@
     running = [
         RunningTask(key, min(99, age_ms // pace_ms)) for key, pace_ms in context.pace_ms.items()
     ]
-    shown = RunnerLook(BEGIN_MS + age_ms, tuple(running), ())
-    events = context.ledger.take_look(shown, BEGIN_MS + age_ms)
+    shown = RunnerSnapshot(BEGIN_MS + age_ms, tuple(running), ())
+    events = context.ledger.apply_snapshot(shown, BEGIN_MS + age_ms)
     context.told += [event for run, event in events if run.key == context.slow]
 
 
@@ -69,8 +69,8 @@
     context.pace_ms = {context.slow: 500 + context.age_ms % 500}
     percent = context.ledger.runs[context.slow].percent
     for age_ms in range(context.age_ms, context.age_ms + time_ms + 600, 50):
-        shown = RunnerLook(BEGIN_MS + age_ms, (RunningTask(context.slow, percent),), ())
-        events = context.ledger.take_look(shown, BEGIN_MS + age_ms)
+        shown = RunnerSnapshot(BEGIN_MS + age_ms, (RunningTask(context.slow, percent),), ())
+        events = context.ledger.apply_snapshot(shown, BEGIN_MS + age_ms)
         context.told += [event for run, event in events if run.key == context.slow]
 
 
@@ -81,17 +81,17 @@
 def told_to_crawl(context, ran_ms, left_ms, others):
     event = context.told[-1]
     found = (event.kind, event.detail, event.ran_ms, event.left_ms, event.others_permille)
-    assert found == (orders.STRAGGLING, orders.CRAWLS, ran_ms, left_ms, others), context.told
+    assert found == (orders.STRAGGLING, orders.SLOW, ran_ms, left_ms, others), context.told
 
 
 @then("the slow one is not told to stand still")
 def not_still(context):
-    assert all(event.detail != orders.STANDS_STILL for event in context.told), context.told
+    assert all(event.detail != orders.STALLED for event in context.told), context.told
 
 
 @then("the slow one is told to stand still for {time_ms:d} ms or more")
 def told_still(context, time_ms):
-    still = [event.still_ms for event in context.told if event.detail == orders.STANDS_STILL]
+    still = [event.stalled_ms for event in context.told if event.detail == orders.STALLED]
     assert still and max(still) >= time_ms, context.told
 
 
@@ -185,7 +185,7 @@
     tell(
         context,
         orders.STRAGGLING,
-        orders.CRAWLS,
+        orders.SLOW,
         ran_ms=ran_ms,
         left_ms=left_ms,
         others_permille=others,
@@ -194,7 +194,7 @@
 
 @when("its run has stood still for {time_ms:d} ms")
 def stood_still(context, time_ms):
-    tell(context, orders.STRAGGLING, orders.STANDS_STILL, ran_ms=time_ms, still_ms=time_ms)
+    tell(context, orders.STRAGGLING, orders.STALLED, ran_ms=time_ms, stalled_ms=time_ms)
 
 
 def last_verdict(context):
@@ -220,12 +220,12 @@
     for _ in range(0, time_s * 1_000, REPEAT_MS):
         context.now_ms += REPEAT_MS
         context.view.heard_ms = context.now_ms
-        still_ms = context.now_ms - since_ms
-        if still_ms < 500:
+        stalled_ms = context.now_ms - since_ms
+        if stalled_ms < 500:
             continue
-        tell(context, orders.STRAGGLING, orders.STANDS_STILL, ran_ms=still_ms, still_ms=still_ms)
+        tell(context, orders.STRAGGLING, orders.STALLED, ran_ms=stalled_ms, stalled_ms=stalled_ms)
         if last_verdict(context)["moved"]:
-            context.stood_ms.append(still_ms)
+            context.stood_ms.append(stalled_ms)
             tell(context, orders.ENDED, RunEnd.STOPPED.value, end_number=context.task.attempt)
             context.dispatch.placer.place_waiting(context.now_ms)
             tell(context, orders.STARTED)
--- a/features/steps/submission_steps.py
+++ b/features/steps/submission_steps.py
@@ -16,7 +16,7 @@
 from gapdrum.core.dispatch import build_dispatch
 from gapdrum.core.jobs import TaskPhase
 from gapdrum.core.models import Resources, RunEnd, RunKey, Step
-from gapdrum.core.runner_models import EndedRun, RunnerLook, RunningTask
+from gapdrum.core.runner_models import EndedRun, RunnerSnapshot, RunningTask
 from gapdrum.entry.waiting_callers import Caller, WaitingCallers
 
 TASKS = 2
@@ -31,9 +31,9 @@
         super().__init__(timers)
         self.ended = []
 
-    async def look(self, until_ms, _seen, _fence, _wait_ms, _timeout_ms):
+    async def poll(self, until_ms, _seen, _fence, _wait_ms, _timeout_ms):
         self.renewals.append(until_ms)
-        return RunnerLook(self.read_clock(), self.running, tuple(self.ended))
+        return RunnerSnapshot(self.read_clock(), self.running, tuple(self.ended))
 
     def end(self, key, end):
         self.running = tuple(one for one in self.running if one.run != key)
@@ -116,7 +116,7 @@
             self.agent.orders.take(self.link, message)
         return [message for message in sent if isinstance(message, orders.StartOrder)]
 
-    def look(self):
+    def poll(self):
         """Let the agent look at its runner once."""
         base.step(self.context)
 
@@ -125,7 +125,7 @@
         for _ in range(0, time_ms, BEAT_MS):
             self.timers.time_ms += BEAT_MS
             self.echo()
-            self.look()
+            self.poll()
             self.tell_owner()
 
     # Callers.
@@ -147,7 +147,7 @@
         for run in self.context.runs:
             run.calling = False
         self.context.runner.running += tuple(RunningTask(key, 5) for key in keys)
-        self.look()
+        self.poll()
         self.tell_owner()
         return keys
 
@@ -156,8 +156,8 @@
 def new_pair(context):
     context.pair = pair = Pair(context)
     pair.join()
-    pair.look()
-    pair.look()
+    pair.poll()
+    pair.poll()
     pair.tell_owner()
 
 
@@ -173,13 +173,13 @@
     pair, runner = context.pair, context.runner
     first, *others = context.keys
     runner.end(first, RunEnd(end))
-    pair.look()
+    pair.poll()
     pair.tell_owner()
     pair.leave()
     pair.tell_agent()
     for key in others:
         runner.end(key, RunEnd.STOPPED)
-    pair.look()
+    pair.poll()
     pair.tell_owner()
 
 
@@ -228,7 +228,7 @@
     """Let runs end, and the agent note it; its owner is not told yet."""
     for key in keys:
         context.runner.end(key, end)
-    context.pair.look()
+    context.pair.poll()
 
 
 @when("a job of a waiting caller is {fate} there, and what is told of it is held up")
--- a/features/steps/subset_steps.py
+++ b/features/steps/subset_steps.py
@@ -13,11 +13,11 @@
 from gapdrum.core import orders
 from gapdrum.core.dispatch import build_dispatch
 from gapdrum.core.jobs import TaskPhase
-from gapdrum.core.reach import Reach, View
+from gapdrum.core.reach import Reach, VisibleCapacity
 from gapdrum.core.records import EntryAddress, address_row, load_record
 from gapdrum.core.run_bounds import SILENCE_LIMIT_MS
 from gapdrum.core.runner_ledger import UNKNOWN_OWNER, HeldOwner
-from gapdrum.core.subsets import SERVED_ENTRIES, Candidate, choose_entries
+from gapdrum.core.subsets import ENTRIES_PER_AGENT, Candidate, choose_entries
 from gapdrum.entry.links import AgentLinks
 from gapdrum.event_log import EventLog
 from gapdrum.streams import open_stream
@@ -138,10 +138,10 @@
     reaches = {entry: Reach() for entry in context.entry_zones}
     for step in range(seconds * 2):
         served = Counter(entry for chosen in subsets_of(context).values() for entry in chosen)
-        views = {entry: View(served[entry], 300) for entry in reaches}
+        views = {entry: VisibleCapacity(served[entry], 300) for entry in reaches}
         for entry, reach in reaches.items():
             others = [view for name, view in views.items() if name != entry]
-            reach.judge(views[entry], others, False, 500 * step)
+            reach.adjust(views[entry], others, False, 500 * step)
         context.wanted = {entry: reach.wanted_permille for entry, reach in reaches.items()}
 
 
@@ -259,7 +259,7 @@
         await entry.listen()
         links.list_entry(name, EntryAddress("life", "zone", HOST, entry.port))
     links.arrange()
-    await wait_until(lambda: len(joined(context)) == min(count, SERVED_ENTRIES))
+    await wait_until(lambda: len(joined(context)) == min(count, ENTRIES_PER_AGENT))
 
 
 def describe_runner(link):
@@ -374,14 +374,14 @@
 
 @given("an entry that sees {agents:d} agents and {free:d} thousandths of room free")
 def own_view(context, agents, free):
-    context.own = View(agents, free)
+    context.own = VisibleCapacity(agents, free)
     context.reach = Reach()
     context.now_ms = 10_000
 
 
 @given("others that see {agents:d} agents and {free:d} thousandths of room free")
 def other_views(context, agents, free):
-    context.others = [View(agents, free)] * 3
+    context.others = [VisibleCapacity(agents, free)] * 3
 
 
 @when("work {waits} for {time_ms:d} ms")
@@ -390,7 +390,7 @@
     if waits == "does not wait" and own.agents == context.others[0].agents:
         own = attrs.evolve(own, free_permille=context.others[0].free_permille)
     for _ in range(time_ms // JUDGE_MS):
-        context.reach.judge(own, context.others, waits == "waits", context.now_ms)
+        context.reach.adjust(own, context.others, waits == "waits", context.now_ms)
         context.now_ms += JUDGE_MS
 
 
--- a/features/steps/unanswered_stop_steps.py
+++ b/features/steps/unanswered_stop_steps.py
@@ -24,7 +24,7 @@
 def lease_lapses(context):
     for key in context.keys:
         context.runner.end(key, RunEnd.LEASE_LAPSED)
-    context.pair.look()
+    context.pair.poll()
 
 
 @then("another entry is told of {room} there, and its order is {fate}")
--- a/features/steps/uneven_runner_steps.py
+++ b/features/steps/uneven_runner_steps.py
@@ -14,7 +14,7 @@
 from gapdrum.core.models import Resources, RunEnd, RunKey, Step, TaskName
 from gapdrum.core.placement_rules import build_pool, choose_runner
 from gapdrum.core.runner_ledger import Run, RunnerLedger
-from gapdrum.core.runner_models import EndedRun, RunnerLook, RunningTask
+from gapdrum.core.runner_models import EndedRun, RunnerSnapshot, RunningTask
 from gapdrum.core.runner_views import AgentView, RunnerView
 from gapdrum.core.task_durations import TaskDurations
 
@@ -42,18 +42,18 @@
 def start_run(context, key, estimate_ms, since_ms):
     run = Run(key, OWNER, 1, ROOM, since_ms + 700, since_ms, estimate_ms=estimate_ms)
     context.ledger.begin(run)
-    context.ledger.note_started(run, since_ms)
+    context.ledger.mark_started(run, since_ms)
 
 
-def look(context, now_ms, running=(), ended=()):
-    context.ledger.take_look(RunnerLook(now_ms, running, ended), now_ms)
+def poll(context, now_ms, running=(), ended=()):
+    context.ledger.apply_snapshot(RunnerSnapshot(now_ms, running, ended), now_ms)
 
 
 def end_runs(context, count, estimate_ms, ran_ms, until_ms, end):
     for _ in range(count):
         key = next_key(context)
         start_run(context, key, estimate_ms, until_ms - ran_ms)
-        look(context, until_ms, ended=(EndedRun(context.ended, key, end),))
+        poll(context, until_ms, ended=(EndedRun(context.ended, key, end),))
 
 
 @when("it does {count:d} runs of {work:d} ms each in {ran:d} ms, until {until:d} ms")
@@ -74,20 +74,20 @@
     for turn in range(5):
         now_ms = begin_ms + 400 * turn
         percent = min(99, 100 * (now_ms - begin_ms) // total)
-        look(context, now_ms, running=(RunningTask(context.crawling, percent),))
+        poll(context, now_ms, running=(RunningTask(context.crawling, percent),))
 
 
 @when("it is stopped at {now:d} ms")
 def stop_crawling(context, now):
     end = EndedRun(context.ended, context.crawling, RunEnd.STOPPED)
-    look(context, now, ended=(end,))
+    poll(context, now, ended=(end,))
 
 
 @when("a run that was found there ends at {now:d} ms")
 def end_found(context, now):
     key = next_key(context)
-    look(context, now - 50, running=(RunningTask(key, 50),))
-    look(context, now, ended=(EndedRun(context.ended, key, RunEnd.DONE),))
+    poll(context, now - 50, running=(RunningTask(key, 50),))
+    poll(context, now, ended=(EndedRun(context.ended, key, RunEnd.DONE),))
 
 
 @then("its slowness is {slowness:d} by {runs:d} runs at {now:d} ms")
--- a/features/steps/urgent_work_steps.py
+++ b/features/steps/urgent_work_steps.py
@@ -131,7 +131,7 @@
 def busy_runner(context, capacity, queue, room):
     now_ms = 1_000
     timers = SimpleNamespace(now_ms=lambda: now_ms, awake_ms=lambda: now_ms)
-    ledger = RunnerLedger("i-1", UPSTREAM, (), Resources(capacity, 64_000, 0), looked=True)
+    ledger = RunnerLedger("i-1", UPSTREAM, (), Resources(capacity, 64_000, 0), polled=True)
     context.runner = RunnerContext(ledger, None, Grants(), 1_000, timers, None, list)
     key = RunKey(TaskName("job-0", 0, 0, 0), 1)
     ledger.begin(Run(key, "e", 1, Resources(room, 10, 0), 0, now_ms, queue=queue, priority=2))
--- a/features/steps/zone_drain_steps.py
+++ b/features/steps/zone_drain_steps.py
@@ -25,9 +25,9 @@
 from gapdrum.core.endpoints import Endpoint
 from gapdrum.core.jobs import TaskPhase
 from gapdrum.core.models import Resources, Step
-from gapdrum.core.reach import View
+from gapdrum.core.reach import VisibleCapacity
 from gapdrum.core.rows import Row, RowKey
-from gapdrum.core.runner_models import RunnerLook
+from gapdrum.core.runner_models import RunnerSnapshot
 from gapdrum.entry.admission import Admission
 from gapdrum.operator_feed import TableNews
 from gapdrum.platform.operator_table import OPERATOR_TABLE, ZONE_DRAIN_PREFIX
@@ -219,7 +219,7 @@
     context.reports = reports
     keeper = registry._keeper("i-1", Endpoint("127.0.0.1", 1))
     keeper.ledger.capacity = Resources(4_000, 100, 0)
-    keeper.ledger.take_look(RunnerLook(10, (), ()), context.timers.now_ms())
+    keeper.ledger.apply_snapshot(RunnerSnapshot(10, (), ()), context.timers.now_ms())
     context.calls = keeper._context.calls = CountingCalls(answers)
     context.keeper = keeper
     context.attempt = 0
@@ -314,7 +314,7 @@
     ledger = context.keeper.ledger
     (run,) = ledger.runs.values()
     assert ledger.used == run.room
-    ledger.take_look(RunnerLook(run.start_expires_ms + 1, (), ()), context.timers.now_ms())
+    ledger.apply_snapshot(RunnerSnapshot(run.start_expires_ms + 1, (), ()), context.timers.now_ms())
     assert not ledger.runs
 
 
@@ -342,17 +342,17 @@
 
 @when('"{first}" and "{second}" are drained')
 def drain_two(context, first, second):
-    context.dispatch.fleet.closed_zones = frozenset((first, second))
+    context.dispatch.fleet.drained_zones = frozenset((first, second))
 
 
 @when('"{zone}" is drained')
 def drain_one(context, zone):
-    context.dispatch.fleet.closed_zones = frozenset((zone,))
+    context.dispatch.fleet.drained_zones = frozenset((zone,))
 
 
 @when('"{zone}" is restored')
 def restore_one(context, zone):
-    context.dispatch.fleet.closed_zones -= {zone}
+    context.dispatch.fleet.drained_zones -= {zone}
     context.now_ms += 100
     context.dispatch.placer.place_waiting(context.now_ms)
 
@@ -389,8 +389,8 @@
 @then("a job that comes is shut out, unless other entries see agents in open zones")
 def is_shut_out(context):
     assert shut_out(context)
-    assert shut_out(context, elsewhere=[View(0, 0)])
-    assert not shut_out(context, elsewhere=[View(0, 0), View(3, 0)])
+    assert shut_out(context, elsewhere=[VisibleCapacity(0, 0)])
+    assert not shut_out(context, elsewhere=[VisibleCapacity(0, 0), VisibleCapacity(3, 0)])
 
 
 @then("a job that comes is not shut out")
--- a/src/gapdrum/agent/entry_links.py
+++ b/src/gapdrum/agent/entry_links.py
@@ -203,7 +203,7 @@
             entry,
             is_near=address.zone == self._zone,
             is_down=link is not None and link.away_ms(now_ms) > DOWN_AFTER_MS,
-            is_needed=entry in needed,
+            holds_work=entry in needed,
             wanted_permille=address.wanted_permille,
             is_drained=address.zone in drained and self._zone not in drained,
         )
--- a/src/gapdrum/agent/entry_orders.py
+++ b/src/gapdrum/agent/entry_orders.py
@@ -116,7 +116,7 @@
     def _take_stored(self, _link: EntryLink, message: orders.EndsStored) -> None:
         keeper = self._keepers.get(message.runner_id)
         if keeper is not None:
-            keeper.ledger.store_ends(message.numbers, message.outrun)
+            keeper.ledger.mark_ends_stored(message.numbers, message.superseded)
 
     def _take_claims(self, link: EntryLink, message: orders.JobsClaimed) -> None:
         """Refuse lower epochs of the jobs from now on, and tell what is held of them."""
@@ -129,7 +129,7 @@
         epochs = {row.job_id: row.epoch for row in message.jobs}
         for keeper in self._keepers.values():
             self._tell_former_owners(keeper, epochs, link.owner)
-            if keeper.ledger.looked:
+            if keeper.ledger.polled:
                 held = keeper.ledger.held_runs(names)
                 link.send(orders.Holdings(keeper.runner_id, tuple(names), held))
 
@@ -150,7 +150,7 @@
             key = RunKey(TaskName.parse(row.task), row.attempt)
             if row.epoch < self._epochs.get(key.task.job_id, 0):
                 continue
-            event = keeper.ledger.tell_adopted(key, row.submission)
+            event = keeper.ledger.event_for_adopter(key, row.submission)
             if event is None:
                 keeper.ledger.adopt(key, link.owner, row.epoch, row.kept, row.room, row.submission)
             else:
@@ -191,9 +191,9 @@
         The former name's last word counts for the new one, which has echoed nothing yet: without
         it all of that would be stopped at once.
         """
-        word_ms = self._grants.word_ms(former, kept=False)
-        if word_ms is not None:
-            self._grants.note(owner, word_ms, lease_held=False)
+        last_echo_ms = self._grants.last_echo_ms(former, kept=False)
+        if last_echo_ms is not None:
+            self._grants.note(owner, last_echo_ms, lease_held=False)
         for keeper in self._keepers.values():
             for run in keeper.ledger.runs.values():
                 if run.owner == former and not run.kept:
--- a/src/gapdrum/agent/grants.py
+++ b/src/gapdrum/agent/grants.py
@@ -32,10 +32,10 @@
 
     def until_ms(self, owner: str, kept: bool) -> int:
         """Return until when the agent may act for an owner, 0 if it never was granted."""
-        word_ms = self.word_ms(owner, kept)
-        return word_ms + self._bounds.grant_ms(kept) if word_ms is not None else 0
+        last_echo_ms = self.last_echo_ms(owner, kept)
+        return last_echo_ms + self._bounds.grant_ms(kept) if last_echo_ms is not None else 0
 
-    def word_ms(self, owner: str, kept: bool) -> int | None:
+    def last_echo_ms(self, owner: str, kept: bool) -> int | None:
         """Return the last clock that an owner has echoed, None if it never did."""
         return self._echoed.get((owner, kept))
 
@@ -45,27 +45,31 @@
 
     def stop_due_ms(self, run: Run) -> int:
         """Return when a run must be stopped, unless its owner is heard before."""
-        word_ms = self._word_for(run)
-        if word_ms is None:
+        last_echo_ms = self._word_for(run)
+        if last_echo_ms is None:
             return run.since_ms + RESTART_ALLOWANCE_MS
-        return word_ms + self._bounds.grant_ms(run.kept)
+        return last_echo_ms + self._bounds.grant_ms(run.kept)
 
     def lease_limit_ms(self, run: Run) -> int:
         """Return when the lease of a run must have ended, 0 if it must not be renewed at all."""
-        word_ms = self._word_for(run)
-        return word_ms + self._bounds.hold_ms(run.kept) if word_ms is not None else 0
+        last_echo_ms = self._word_for(run)
+        return (
+            last_echo_ms + self._bounds.lease_duration_ms(run.kept)
+            if last_echo_ms is not None
+            else 0
+        )
 
     def end_words(self, run: Run) -> None:
         """Let no later word of a run's owner count for it, until the owner claims it anew."""
         if run.claimed:
-            run.word_ms = self.word_ms(run.owner, run.kept)
+            run.last_echo_ms = self.last_echo_ms(run.owner, run.kept)
             run.claimed = False
 
     def silent_ms(self, run: Run, now_ms: int) -> int | None:
         """Return how long ago the last word came that counts for a run, None if not known."""
-        word_ms = self._word_for(run)
-        return now_ms - word_ms if word_ms is not None else None
+        last_echo_ms = self._word_for(run)
+        return now_ms - last_echo_ms if last_echo_ms is not None else None
 
     def _word_for(self, run: Run) -> int | None:
         """Return the last word that counts for a run: none of a stream where it isn't claimed."""
-        return self.word_ms(run.owner, run.kept) if run.claimed else run.word_ms
+        return self.last_echo_ms(run.owner, run.kept) if run.claimed else run.last_echo_ms
--- a/src/gapdrum/agent/reports.py
+++ b/src/gapdrum/agent/reports.py
@@ -232,7 +232,7 @@
 
     def _tell_held(self, keeper: RunnerKeeper, link: EntryLink) -> None:
         self.tell_one(keeper, link)
-        if keeper.ledger.looked:
+        if keeper.ledger.polled:
             ended = keeper.ledger.recent_ends_of(link.entry, self._timers.now_ms())
             rows = (*keeper.ledger.held_runs(), *ended)
             link.send(orders.Holdings(keeper.runner_id, (), rows))
@@ -250,7 +250,7 @@
             rows = tuple(
                 end.to_event(number)
                 for number, end in keeper.ledger.ends.items()
-                if end.noted_ms < limit_ms and not end.stored and not end.outrun
+                if end.noted_ms < limit_ms and not end.stored and not end.superseded
             )
             for link in told if rows else ():
                 link.send(orders.RunEvents(keeper.runner_id, rows))
--- a/src/gapdrum/agent/runner_context.py
+++ b/src/gapdrum/agent/runner_context.py
@@ -6,9 +6,9 @@
 
 from gapdrum.agent.grants import Grants
 from gapdrum.agent.lease_bound import LeaseBound
-from gapdrum.core.look_schedule import LookSchedule
 from gapdrum.core.models import ZERO_RESOURCES, Resources
 from gapdrum.core.orders import RunEvent
+from gapdrum.core.poll_schedule import PollSchedule
 from gapdrum.core.room_offers import RoomOffers
 from gapdrum.core.room_shares import RoomShares
 from gapdrum.core.runner_ledger import Run, RunnerLedger
@@ -41,7 +41,7 @@
     lease_until_ms: int = 0
     offers: RoomOffers = attrs.Factory(RoomOffers)
     bound: LeaseBound = attrs.Factory(LeaseBound)
-    schedule: LookSchedule = attrs.Factory(LookSchedule)
+    schedule: PollSchedule = attrs.Factory(PollSchedule)
     shares: RoomShares = attrs.Factory(RoomShares)
 
     @property
@@ -91,7 +91,7 @@
         that is there.
         """
         ledger = self.ledger
-        if ledger.must_lapse() or ledger.leaving or not ledger.looked:
+        if ledger.awaits_lapse() or ledger.leaving or not ledger.polled:
             return 0
         if not ledger.runs and not ledger.ends:
             return 0
--- a/src/gapdrum/agent/runner_keeper.py
+++ b/src/gapdrum/agent/runner_keeper.py
@@ -10,13 +10,13 @@
 from gapdrum.backoff import Backoff
 from gapdrum.core import orders
 from gapdrum.core.endpoints import Endpoint
-from gapdrum.core.look_schedule import LOOK_WAIT_MS
 from gapdrum.core.models import Resources, RunEnd
+from gapdrum.core.poll_schedule import POLL_WAIT_MS
 from gapdrum.core.room_offers import RoomOffers
 from gapdrum.core.room_shares import RoomShares
-from gapdrum.core.runner_health import REST_MS
+from gapdrum.core.runner_health import EJECTION_MS
 from gapdrum.core.runner_ledger import Run, RunnerLedger
-from gapdrum.core.runner_models import Heartbeat, ListedRunner, RunnerLook
+from gapdrum.core.runner_models import Heartbeat, ListedRunner, RunnerSnapshot
 from gapdrum.event_log import EventLog
 from gapdrum.exceptions import GapdrumError
 from gapdrum.platform.runner_calls import (
@@ -130,7 +130,7 @@
 
         An answer that did not come in time has taken its time already.
         """
-        if self._schedule.any_under_way:
+        if self._schedule.has_pending_poll:
             return False
         return not self.ledger.reachable or not isinstance(error, TimedOutError)
 
@@ -142,17 +142,17 @@
         now_ms = self._timers.now_ms()
         self._check_rest(now_ms)
         self.starts.stop_what_must(now_ms)
-        look = await self._looks.next(self._wait_ms(now_ms))
-        if look is None:
+        poll = await self._looks.next(self._wait_ms(now_ms))
+        if poll is None:
             self._judge_reachable(UNHEARD)
             return False
-        first = not self.ledger.looked
-        events = self._take_look(look)
+        first = not self.ledger.polled
+        events = self._apply_snapshot(poll)
         if first:
-            self._note_first(look)
+            self._note_first(poll)
         if events:
             self._context.report(events)
-        elif look.ended:
+        elif poll.ended:
             # Ends that are not stored yet are shown at once, again and again.
             await asyncio.sleep(UNSTORED_PAUSE_MS / MS_PER_S)
         return True
@@ -163,24 +163,24 @@
         A stop that waited for the end of a look took up to 200 ms of the time that is left
         before the caller submits its job again.
         """
-        if not self.ledger.looked:
+        if not self.ledger.polled:
             return 0
-        return max(0, min(LOOK_WAIT_MS, self.starts.next_stop_ms(now_ms) - now_ms))
+        return max(0, min(POLL_WAIT_MS, self.starts.next_stop_ms(now_ms) - now_ms))
 
-    def _take_look(self, look: RunnerLook) -> list[tuple[Run, orders.RunEvent]]:
+    def _apply_snapshot(self, poll: RunnerSnapshot) -> list[tuple[Run, orders.RunEvent]]:
         """Bring the ledger up to a look; return what happened to runs."""
         now_ms = self._timers.now_ms()
         ledger = self.ledger
-        was_resting = bool(ledger.health.resting_until_ms)
-        ledger.note_clock(look.clock_ms, self._timers.awake_ms())
+        was_resting = bool(ledger.health.ejected_until_ms)
+        ledger.update_clock(poll.clock_ms, self._timers.awake_ms())
         self._note_reachable()
-        events = ledger.take_look(look, now_ms)
+        events = ledger.apply_snapshot(poll, now_ms)
         self._note_cut_short(events, now_ms)
-        if ledger.must_lapse() and look.clock_ms > self._context.lease_until_ms:
-            ledger.note_lapse()
-            self._log.write("lease_let_lapse", runner=self.runner_id, clock_ms=look.clock_ms)
-        if ledger.health.resting_until_ms and not was_resting:
-            self._log.write("runner_suspect", runner=self.runner_id, rest_ms=REST_MS)
+        if ledger.awaits_lapse() and poll.clock_ms > self._context.lease_until_ms:
+            ledger.record_lapse()
+            self._log.write("lease_let_lapse", runner=self.runner_id, clock_ms=poll.clock_ms)
+        if ledger.health.ejected_until_ms and not was_resting:
+            self._log.write("runner_suspect", runner=self.runner_id, rest_ms=EJECTION_MS)
         return events
 
     def _note_cut_short(self, events: list[tuple[Run, orders.RunEvent]], now_ms: int) -> None:
@@ -201,20 +201,20 @@
                     stop_ms=now_ms - run.stopping_ms if run.stopping else None,
                 )
 
-    def _note_first(self, look: RunnerLook) -> None:
+    def _note_first(self, poll: RunnerSnapshot) -> None:
         self._log.write(
             "runner_looked",
             runner=self.runner_id,
             fence=self._context.fence,
-            running=len(look.running),
-            ended=len(look.ended),
+            running=len(poll.running),
+            ended=len(poll.ended),
         )
         self._on_looked(self)
 
     def _check_rest(self, now_ms: int) -> None:
         """Tell the entries when a suspect runner may be tried again."""
-        was_resting = bool(self.ledger.health.resting_until_ms)
-        if was_resting and not self.ledger.health.is_resting(now_ms):
+        was_resting = bool(self.ledger.health.ejected_until_ms)
+        if was_resting and not self.ledger.health.is_ejected(now_ms):
             self._log.write("runner_on_trial", runner=self.runner_id)
             self._context.report([])
 
@@ -225,14 +225,14 @@
         nothing and is answered with the clock, also where it is fenced off.
         """
         try:
-            look = await self._context.calls.look(0, 0, 0, 0, FIRST_LOOK_TIMEOUT_MS)
-            clock_ms = look.clock_ms
+            poll = await self._context.calls.poll(0, 0, 0, 0, FIRST_LOOK_TIMEOUT_MS)
+            clock_ms = poll.clock_ms
         except RunnerRejectedError as error:
             if error.clock_ms is None:
                 raise
             clock_ms = error.clock_ms
-        self.ledger.note_clock(clock_ms, self._timers.awake_ms())
-        self._schedule.note_heard(self._timers.now_ms())
+        self.ledger.update_clock(clock_ms, self._timers.awake_ms())
+        self._schedule.record_contact(self._timers.now_ms())
         self._context.fence = max(1, clock_ms)
         # What an earlier life of this agent may have asked for.
         self._context.lease_until_ms = clock_ms + self._context.longest_lease_ms
@@ -249,7 +249,7 @@
 
         One lost answer beside others that come takes no room away.
         """
-        if self.ledger.reachable and self._schedule.is_silent(self._timers.now_ms()):
+        if self.ledger.reachable and self._schedule.is_unresponsive(self._timers.now_ms()):
             self.ledger.reachable = False
             self._schedule.unreachable = True
             self._log.write("runner_unreachable", runner=self.runner_id, reason=reason)
@@ -327,10 +327,10 @@
 
     async def renew_fully(self) -> None:
         """Renew once more before the agent ends, so that its successor finds the runs alive."""
-        if self.ledger.gone or not self._context.fence or not self.ledger.looked:
+        if self.ledger.gone or not self._context.fence or not self.ledger.polled:
             return
         left_ms = self._context.lease_left_ms(self._timers.now_ms())
         try:
-            await self._looks.look(left_ms, 0)
+            await self._looks.poll(left_ms, 0)
         except (NoReplyError, NotSentError, RunnerRejectedError, RunnerReplacedError) as error:
             self._log.write("last_renewal_failed", runner=self.runner_id, code=error.code)
--- a/src/gapdrum/agent/runner_looks.py
+++ b/src/gapdrum/agent/runner_looks.py
@@ -5,8 +5,8 @@
 
 from gapdrum.agent.runner_context import LAPSE_SLACK_MS, RunnerContext
 from gapdrum.background import Background
-from gapdrum.core.look_schedule import LOOK_ANSWER_MS, LookTurn
-from gapdrum.core.runner_models import RunnerLook
+from gapdrum.core.poll_schedule import POLL_ANSWER_MS, Poll
+from gapdrum.core.runner_models import RunnerSnapshot
 from gapdrum.platform.runner_calls import RunnerRejectedError
 from gapdrum.transport.http_client import NoReplyError, NotSentError, TimedOutError
 
@@ -26,18 +26,18 @@
         self._schedule = context.schedule
         self._background = Background(context.log)
         self._tasks: dict[int, asyncio.Task] = {}
-        self._outcomes: deque[tuple[int, RunnerLook | Exception]] = deque()
+        self._outcomes: deque[tuple[int, RunnerSnapshot | Exception]] = deque()
         self._waiter: asyncio.Future | None = None
-        self._schedule.on_lost = self._note_lossy
+        self._schedule.on_answer_lost = self._note_lossy
 
-    async def next(self, wait_ms: int) -> RunnerLook | None:
+    async def next(self, wait_ms: int) -> RunnerSnapshot | None:
         """Return the next look that is news; raises what its call raises.
 
         Returns None if there is none yet, and something else may have become due.
         """
         if not self._outcomes:
             now_ms = self._context.timers.now_ms()
-            for number in self._schedule.list_overtaken(now_ms):
+            for number in self._schedule.list_lost_polls(now_ms):
                 self._give_up(number, now_ms)
             due_ms = self._schedule.next_ms(now_ms)
             if due_ms is not None and due_ms <= now_ms:
@@ -54,7 +54,7 @@
     async def _pause(self, now_ms: int) -> None:
         """Wait until a look has ended, or another one is due."""
         self._waiter = asyncio.get_running_loop().create_future()
-        change_ms = self._schedule.next_change_ms(now_ms)
+        change_ms = self._schedule.next_wakeup_ms(now_ms)
         timer = None
         if change_ms is not None:
             timer = self._context.timers.call_after(change_ms - now_ms, self._wake)
@@ -73,7 +73,7 @@
         self._context.log.write("runner_answer_lost", runner=self._context.runner_id)
         self._wake()
 
-    def _take(self) -> RunnerLook | None:
+    def _take(self) -> RunnerSnapshot | None:
         if not self._outcomes:
             return None
         number, outcome = self._outcomes.popleft()
@@ -81,27 +81,27 @@
             raise outcome
         return outcome if self._schedule.is_news(number, outcome.clock_ms) else None
 
-    def _begin(self, turn: LookTurn) -> None:
+    def _begin(self, turn: Poll) -> None:
         left_ms = self._context.lease_left_ms(turn.began_ms)
         self._tasks[turn.number] = self._background.spawn(self._run(turn, left_ms))
 
     def _give_up(self, number: int, now_ms: int) -> None:
         self._schedule.end(number)
-        self._schedule.note_lost(now_ms)
+        self._schedule.record_lost_answer(now_ms)
         self._tasks[number].cancel()
 
-    async def _run(self, turn: LookTurn, left_ms: int) -> None:
-        outcome: RunnerLook | Exception | None = None
+    async def _run(self, turn: Poll, left_ms: int) -> None:
+        outcome: RunnerSnapshot | Exception | None = None
         try:
-            outcome = await self.look(left_ms, turn.wait_ms)
-            self._schedule.note_answer(turn.number, self._context.timers.now_ms())
+            outcome = await self.poll(left_ms, turn.wait_ms)
+            self._schedule.record_answer(turn.number, self._context.timers.now_ms())
         except RunnerRejectedError as error:
-            self._schedule.note_answer(turn.number, self._context.timers.now_ms())
+            self._schedule.record_answer(turn.number, self._context.timers.now_ms())
             outcome = error
         except (NoReplyError, NotSentError) as error:
-            self._schedule.note_failure()
+            self._schedule.record_failure()
             if isinstance(error, TimedOutError):
-                self._schedule.note_lost(self._context.timers.now_ms())
+                self._schedule.record_lost_answer(self._context.timers.now_ms())
             outcome = error
         except Exception as error:  # whoever waits for the look is to have it
             outcome = error
@@ -111,19 +111,19 @@
         self._outcomes.append((turn.number, outcome))
         self._wake()
 
-    async def look(self, left_ms: int, wait_ms: int) -> RunnerLook:
+    async def poll(self, left_ms: int, wait_ms: int) -> RunnerSnapshot:
         """Look once, and renew the lease by so much; raises what the call raises."""
         context = self._context
         until_ms = context.lease_until(left_ms)
         call = context.bound.propose(context.timers.awake_ms() + left_ms + LAPSE_SLACK_MS)
         sent = True
         try:
-            return await context.calls.look(
+            return await context.calls.poll(
                 until_ms,
-                context.ledger.advance_seen(),
+                context.ledger.advance_acknowledged(),
                 context.fence,
                 wait_ms,
-                wait_ms + LOOK_ANSWER_MS,
+                wait_ms + POLL_ANSWER_MS,
             )
         except NotSentError:
             sent = False
--- a/src/gapdrum/agent/runner_starts.py
+++ b/src/gapdrum/agent/runner_starts.py
@@ -113,7 +113,7 @@
                 clock_ms = await self._context.calls.start(
                     run.key, spec, run.start_expires_ms, self._context.fence, START_TIMEOUT_MS
                 )
-                self.ledger.note_clock(clock_ms, self._context.timers.awake_ms())
+                self.ledger.update_clock(clock_ms, self._context.timers.awake_ms())
                 self._note_heard()
                 settled = orders.STARTED
                 sent = True
@@ -138,12 +138,12 @@
         self._settle_start(run, settled)
 
     def _note_heard(self) -> None:
-        self._context.schedule.note_heard(self._context.timers.now_ms())
+        self._context.schedule.record_contact(self._context.timers.now_ms())
 
     def _note_unanswered(self, error: NoReplyError) -> None:
         """Let the runner be looked at for what the lost answer would have told."""
         if isinstance(error, TimedOutError):
-            self._context.schedule.note_lost(self._context.timers.now_ms())
+            self._context.schedule.record_lost_answer(self._context.timers.now_ms())
 
     def _may_still_start(self, run: Run) -> bool:
         if self.ledger.gone or self.ledger.zone_closed or run.key not in self.ledger.runs:
@@ -179,7 +179,7 @@
             event = not_started(run.key, run.epoch, orders.RUNNER_REJECTED, run.submission)
             self._context.report([(run, event)])
         elif settled == orders.STARTED and run.phase == orders.HELD_STARTING:
-            self.ledger.note_started(run, self._context.timers.now_ms())
+            self.ledger.mark_started(run, self._context.timers.now_ms())
             self._context.report([(run, started(run))])
 
     # Stopping.
--- a/src/gapdrum/core/dispatch.py
+++ b/src/gapdrum/core/dispatch.py
@@ -90,9 +90,9 @@
         self.fleet.apply_room(view, report)
         self.effects.schedule_placement()
 
-    def check_silence(self, now_ms: int) -> None:
+    def expire_silent(self, now_ms: int) -> None:
         """Place anew what was placed where nothing runs any more."""
-        for lost in self.fleet.check_silence(now_ms):
+        for lost in self.fleet.expire_silent(now_ms):
             self._release_lost(lost, now_ms)
 
     def agent_departed(self, view: AgentView, now_ms: int) -> None:
--- a/src/gapdrum/core/fleet.py
+++ b/src/gapdrum/core/fleet.py
@@ -29,18 +29,18 @@
     effects: Effects
     agents: dict[str, AgentView] = attrs.Factory(dict)
     runners: dict[Place, RunnerView] = attrs.Factory(dict)
-    closed_zones: frozenset[str] = frozenset()  # where operators want nothing to be started
+    drained_zones: frozenset[str] = frozenset()  # where operators want nothing to be started
 
     def open_runners(self) -> Collection[RunnerView]:
         """Return the runners outside of drained zones."""
-        if not self.closed_zones:
+        if not self.drained_zones:
             return self.runners.values()
-        closed = self.closed_zones
+        closed = self.drained_zones
         return [one for one in self.runners.values() if one.agent.zone not in closed]
 
     def count_open_agents(self) -> int:
         """Return how many agents outside of drained zones are connected."""
-        closed = self.closed_zones
+        closed = self.drained_zones
         return sum(one.connected and one.zone not in closed for one in self.agents.values())
 
     def free_cpu_milli(self) -> int:
@@ -73,7 +73,7 @@
         view.heard_ms = now_ms
         for runner in self._runners_of(greeting.agent):
             runner.agent = view
-            runner.restart_count(now_ms)
+            runner.reset_orders(now_ms)
         self.effects.note("agent_joined", agent=greeting.agent, incarnation=greeting.incarnation)
         return view
 
@@ -110,7 +110,7 @@
         if runner is not None:
             runner.apply_room(report)
 
-    def check_silence(self, now_ms: int) -> list[LostRunner]:
+    def expire_silent(self, now_ms: int) -> list[LostRunner]:
         """Give up agents, and runners, that were silent until nothing can run there any more."""
         lost = []
         for view in list(self.agents.values()):
--- a/src/gapdrum/core/orders.py
+++ b/src/gapdrum/core/orders.py
@@ -27,8 +27,8 @@
 STRAGGLING = "straggling"
 
 # Why a run straggles.
-STANDS_STILL = "stands_still"
-CRAWLS = "crawls"
+STALLED = "stands_still"
+SLOW = "crawls"
 
 # Phases of a run that an agent holds.
 HELD_STARTING = "starting"
@@ -143,7 +143,7 @@
 
     ``end_number`` is the runner's number of the end. Nobody needs to store an end of a job that
     is not ``kept``. Of a straggling run ``percent`` is how much of its work is done; it has run
-    for ``ran_ms``, will end after ``left_ms`` at its pace, and has stood still for ``still_ms``.
+    for ``ran_ms``, will end after ``left_ms`` at its pace, and has stood still for ``stalled_ms``.
     ``others_permille`` is how long the others beside it take against their estimates. What is
     not known is 0, and so is ``submission`` for a stored job.
     """
@@ -158,7 +158,7 @@
     kept: bool = True
     ran_ms: int = count_field(default=0)
     left_ms: int = count_field(default=0)
-    still_ms: int = count_field(default=0)
+    stalled_ms: int = count_field(default=0)
     others_permille: int = count_field(default=0)
     submission: int = count_field(default=0)
 
@@ -319,13 +319,13 @@
 class EndsStored:
     """Ends that need not be kept at the runner any more.
 
-    ``outrun`` are those of tasks that were started anew before the end was known: the runner's
+    ``superseded`` are those of tasks that were started anew before the end was known: the runner's
     lease must lapse before they are let go, as they must not count.
     """
 
     runner_id: str = text_field()
     numbers: tuple[int, ...] = attrs.field(converter=tuple)
-    outrun: tuple[int, ...] = attrs.field(converter=tuple)
+    superseded: tuple[int, ...] = attrs.field(converter=tuple)
 
 
 @attrs.frozen
--- a/src/gapdrum/core/placement_rules.py
+++ b/src/gapdrum/core/placement_rules.py
@@ -192,7 +192,7 @@
 def _may_take(view: RunnerView, job: Job, task: Task, field: RunnerPool, now_ms: int) -> bool:
     if view.state == orders.SUSPECT and not field.suspects_allowed:
         return False
-    if not view.may_use(job.queue, task.step.resources) or view.agent.is_quiet(now_ms):
+    if not view.may_use(job.queue, task.step.resources) or view.agent.is_stale(now_ms):
         return False
     if field.is_slow(view) and _would_be_useless(view, job, task, now_ms):
         return False
--- a/src/gapdrum/core/placer.py
+++ b/src/gapdrum/core/placer.py
@@ -103,7 +103,7 @@
         free = sum(
             view.free.cpu_milli // largest_cpu_milli
             for view in field.with_room
-            if view.state == orders.READY and not view.agent.is_quiet(now_ms)
+            if view.state == orders.READY and not view.agent.is_stale(now_ms)
         )
         return free * largest_cpu_milli >= needed
 
@@ -112,7 +112,7 @@
 
         Such a job would wait until it is given up, half of its slack later, and then be refused.
         """
-        if not self.fleet.closed_zones:
+        if not self.fleet.drained_zones:
             return False
         known = [one for one in self.fleet.runners.values() if one.upstream == upstream]
         opened = [one for one in self.fleet.open_runners() if one.upstream == upstream]
@@ -243,7 +243,7 @@
         if waits_for_better(job, task, field, now_ms):
             return "late_where_room_is"
         room = task.step.resources
-        kept = any(view.keeps_from(job.queue, room) for view in field.with_room)
+        kept = any(view.is_kept_from(job.queue, room) for view in field.with_room)
         return orders.ROOM_KEPT if kept else orders.NO_ROOM
 
     def _assign(self, job: Job, task: Task, runner: RunnerView, now_ms: int) -> None:
--- a/src/gapdrum/core/look_schedule.py
+++ b/src/gapdrum/core/poll_schedule.py
@@ -10,8 +10,8 @@
 import attrs
 
 # A look waits so long for an end: five renewals fit into a lease of 1 s.
-LOOK_WAIT_MS = 200
-LOOK_ANSWER_MS = 150  # how much later than it waits a look is answered at most
+POLL_WAIT_MS = 200
+POLL_ANSWER_MS = 150  # how much later than it waits a look is answered at most
 # After a lost answer others are taken to be lost for so long.
 LOSSY_MS = 3_000
 # While answers are lost: how long a look waits, and when the next one begins beside it. A short
@@ -26,11 +26,11 @@
 # A runner can't be reached after so many looks in a row without an answer, or a whole look and
 # the next one that is due to be answered at once.
 MOST_FAILURES = 3
-UNHEARD_MS = LOOK_WAIT_MS + LOOK_ANSWER_MS + 50
+UNHEARD_MS = POLL_WAIT_MS + POLL_ANSWER_MS + 50
 
 
 @attrs.frozen
-class LookTurn:
+class Poll:
     """A look under way; ``number`` counts the looks at this runner."""
 
     number: int
@@ -43,7 +43,7 @@
 
 
 @attrs.define
-class LookSchedule:
+class PollSchedule:
     """The looks at one incarnation of a runner. The time is given.
 
     ::
@@ -52,16 +52,16 @@
         schedule.note_lost(now_ms)              # a start was not answered
         schedule.next_ms(now_ms)                # in 25 ms, beside the one under way
 
-    ``on_lost`` is called when a first answer is lost: the next look may be due by then.
+    ``on_answer_lost`` is called when a first answer is lost: the next look may be due by then.
     """
 
-    on_lost: Callable[[], None] = _no_listener
+    on_answer_lost: Callable[[], None] = _no_listener
     heard_ms: int = 0
     failures: int = 0  # looks in a row without an answer
     unreachable: bool = False
     _lossy_until_ms: int = 0
     _shows_at_once: bool = False
-    _under_way: dict[int, LookTurn] = attrs.Factory(dict)
+    _under_way: dict[int, Poll] = attrs.Factory(dict)
     _begun: int = 0
     _began_ms: int = 0
     _answered: int = 0  # the number of the latest look that was answered, and when that was
@@ -74,7 +74,7 @@
         return now_ms < self._lossy_until_ms
 
     @property
-    def any_under_way(self) -> bool:
+    def has_pending_poll(self) -> bool:
         """Tell whether a look has not been answered yet."""
         return bool(self._under_way)
 
@@ -92,7 +92,7 @@
             return None
         return max(now_ms, self._began_ms + STAGGER_MS)
 
-    def begin(self, most_wait_ms: int, now_ms: int) -> LookTurn:
+    def begin(self, most_wait_ms: int, now_ms: int) -> Poll:
         """Begin a look that waits at most so long; return its turn."""
         wait_ms = most_wait_ms
         if self.unreachable or self._shows_at_once:
@@ -102,7 +102,7 @@
             wait_ms = min(most_wait_ms, SHORT_WAIT_MS)
         self._begun += 1
         self._began_ms = now_ms
-        turn = LookTurn(self._begun, now_ms, wait_ms)
+        turn = Poll(self._begun, now_ms, wait_ms)
         self._under_way[turn.number] = turn
         return turn
 
@@ -112,31 +112,31 @@
         """Note that a look is under way no more."""
         self._under_way.pop(number, None)
 
-    def note_answer(self, number: int, now_ms: int) -> None:
+    def record_answer(self, number: int, now_ms: int) -> None:
         """Note that a look was answered."""
-        self.note_heard(now_ms)
+        self.record_contact(now_ms)
         if number > self._answered:
             self._answered = number
             self._answered_ms = now_ms
 
-    def note_heard(self, now_ms: int) -> None:
+    def record_contact(self, now_ms: int) -> None:
         """Note that the runner has answered a call."""
         self.heard_ms = now_ms
         self.failures = 0
 
-    def note_failure(self) -> None:
+    def record_failure(self) -> None:
         """Note a look without an answer."""
         self.failures += 1
 
-    def note_lost(self, now_ms: int) -> None:
+    def record_lost_answer(self, now_ms: int) -> None:
         """Note a call that was sent on a sound connection and not answered in time."""
         was_lossy = self.is_lossy(now_ms)
         self._lossy_until_ms = now_ms + LOSSY_MS
         if not was_lossy:
             self._shows_at_once = True  # what the lost answer would have told
-            self.on_lost()
+            self.on_answer_lost()
 
-    def list_overtaken(self, now_ms: int) -> list[int]:
+    def list_lost_polls(self, now_ms: int) -> list[int]:
         """Return the looks whose answers are lost, as a later one was answered meanwhile."""
         return [
             turn.number
@@ -144,10 +144,10 @@
             if turn.number < self._answered and now_ms >= self._lost_at_ms(turn)
         ]
 
-    def _lost_at_ms(self, turn: LookTurn) -> int:
+    def _lost_at_ms(self, turn: Poll) -> int:
         return max(self._answered_ms, turn.began_ms + turn.wait_ms) + OVERTAKEN_MS
 
-    def next_change_ms(self, now_ms: int) -> int | None:
+    def next_wakeup_ms(self, now_ms: int) -> int | None:
         """Return when a look is to begin, or to be given up, if nothing is heard before."""
         times = [
             self._lost_at_ms(turn)
@@ -173,7 +173,7 @@
         self._picture_clock_ms = clock_ms
         return True
 
-    def is_silent(self, now_ms: int) -> bool:
+    def is_unresponsive(self, now_ms: int) -> bool:
         """Tell whether the runner has left so much unanswered that it can't be reached."""
         if self.failures >= MOST_FAILURES:
             return True
--- a/src/gapdrum/core/reach.py
+++ b/src/gapdrum/core/reach.py
@@ -20,7 +20,7 @@
 
 
 @attrs.frozen
-class View:
+class VisibleCapacity:
     """What an entry sees: how many agents, and which share of their room is free."""
 
     agents: int
@@ -45,7 +45,9 @@
         """Return the share of all agents that is asked for."""
         return STEPS_PERMILLE[self.step]
 
-    def judge(self, own: View, others: Sequence[View], work_waits: bool, now_ms: int) -> bool:
+    def adjust(
+        self, own: VisibleCapacity, others: Sequence[VisibleCapacity], work_waits: bool, now_ms: int
+    ) -> bool:
         """Take what is seen now; return whether another share is to be asked for."""
         if not self._is_short(own, others, work_waits):
             self._short_since_ms = None
@@ -56,7 +58,9 @@
         return self._raise(now_ms)
 
     @staticmethod
-    def _is_short(own: View, others: Sequence[View], work_waits: bool) -> bool:
+    def _is_short(
+        own: VisibleCapacity, others: Sequence[VisibleCapacity], work_waits: bool
+    ) -> bool:
         if not others:
             return False
         # The median, as entries that have widened raise the mean, until others count as short
--- a/src/gapdrum/core/room_shares.py
+++ b/src/gapdrum/core/room_shares.py
@@ -50,7 +50,7 @@
         self.asked_ppm += row.asked_ppm
         self.variance += row.deviation_ppm**2
 
-    def lent_to(self, other: "QueueShare") -> float:
+    def reclaimable_share(self, other: "QueueShare") -> float:
         """Return which part of the room that another queue uses comes back in time."""
         return min(1.0, self.patience_ms / other.run_ms) if other.run_ms else 1.0
 
@@ -81,7 +81,7 @@
         deviation = math.sqrt(sum(one.variance for one in urgent))
         usual = sum(one.asked_ppm for one in urgent) + USUAL_DEVIATIONS * deviation
         unused = usual - sum(_used_ppm(one, capacity, used) for one in urgent)
-        lent = min(one.lent_to(own) for one in urgent)
+        lent = min(one.reclaimable_share(own) for one in urgent)
         return (1 - lent) * max(0.0, min(unused, HEADROOM_DEVIATIONS * deviation))
 
     def _fair_ppm(self, own: QueueShare, capacity: int, used: Used) -> float:
@@ -100,7 +100,7 @@
             unused = part - _used_ppm(one, capacity, used)
             headroom = HEADROOM_DEVIATIONS * math.sqrt(one.variance)
             if one is not own:
-                kept += (1 - one.lent_to(own)) * max(0.0, min(unused, headroom))
+                kept += (1 - one.reclaimable_share(own)) * max(0.0, min(unused, headroom))
         return kept
 
     def _reserved_ppm(self, own: QueueShare, capacity: int, used: Used) -> float:
--- a/src/gapdrum/core/runner_health.py
+++ b/src/gapdrum/core/runner_health.py
@@ -3,11 +3,11 @@
 import attrs
 
 # A sound runner fails one run in 500; two in a row without a run that is done are a sign.
-STRIKES_UNTIL_SUSPECT = 2
+FAILURES_UNTIL_SUSPECT = 2
 # How long a suspect runner gets no work before a trial run. A trial that goes wrong costs one
 # job its time, but each second of rest of a sound runner costs the work of all its cores: rests
 # that doubled kept a runner of 32 cores away for 5 s after it worked again.
-REST_MS = 1_500
+EJECTION_MS = 1_500
 
 
 @attrs.define
@@ -17,30 +17,30 @@
     A suspect runner rests; after that it is tried with one run at a time until one is done.
     """
 
-    strikes: int = 0
-    resting_until_ms: int = 0
-    on_trial: bool = False
+    consecutive_failures: int = 0
+    ejected_until_ms: int = 0
+    half_open: bool = False
 
-    def note_done(self) -> None:
+    def record_run_success(self) -> None:
         """Note a run that was done: the runner works."""
-        self.strikes = 0
-        self.on_trial = False
-        self.resting_until_ms = 0
+        self.consecutive_failures = 0
+        self.half_open = False
+        self.ejected_until_ms = 0
 
-    def note_strike(self, now_ms: int) -> None:
+    def record_run_failure(self, now_ms: int) -> None:
         """Note a run that failed or stands still."""
-        self.strikes += 1
-        if self.on_trial or self.strikes >= STRIKES_UNTIL_SUSPECT:
-            self.resting_until_ms = now_ms + REST_MS
-            self.on_trial = False
-            self.strikes = 0
+        self.consecutive_failures += 1
+        if self.half_open or self.consecutive_failures >= FAILURES_UNTIL_SUSPECT:
+            self.ejected_until_ms = now_ms + EJECTION_MS
+            self.half_open = False
+            self.consecutive_failures = 0
 
-    def is_resting(self, now_ms: int) -> bool:
+    def is_ejected(self, now_ms: int) -> bool:
         """Tell whether the runner gets no work now; the end of a rest begins a trial."""
-        if not self.resting_until_ms:
+        if not self.ejected_until_ms:
             return False
-        if now_ms < self.resting_until_ms:
+        if now_ms < self.ejected_until_ms:
             return True
-        self.resting_until_ms = 0
-        self.on_trial = True
+        self.ejected_until_ms = 0
+        self.half_open = True
         return False
--- a/src/gapdrum/core/runner_ledger.py
+++ b/src/gapdrum/core/runner_ledger.py
@@ -15,7 +15,7 @@
 from gapdrum.core.run_bounds import SILENCE_LIMIT_MS
 from gapdrum.core.run_pace import LEAST_AGE_MS, RECENT_MS, RECENT_RUNS, Pace, usual_permille
 from gapdrum.core.runner_health import RunnerHealth
-from gapdrum.core.runner_models import EndedRun, RunnerLook
+from gapdrum.core.runner_models import EndedRun, RunnerSnapshot
 from gapdrum.core.runner_speed import RunnerSpeed
 
 UNKNOWN_OWNER = ""
@@ -46,7 +46,7 @@
     ``start_expires_ms`` is the reading of the runner's clock from which on the start can't
     take effect any more, and ``calling`` tells whether the call is still under way. One that is
     not ``claimed`` was found at the runner, or its owner has joined anew, and has not said yet
-    that the run is its own; ``word_ms`` is the owner's last word before that, None if not known.
+    that the run is its own; ``last_echo_ms`` is the owner's last word before that, None if not known.
     """
 
     key: RunKey
@@ -58,7 +58,7 @@
     phase: str = orders.HELD_STARTING
     kept: bool = True
     claimed: bool = True
-    word_ms: int | None = None
+    last_echo_ms: int | None = None
     calling: bool = False
     stopping_ms: int | None = None  # since when it is to be stopped
     percent: int = 0
@@ -68,7 +68,7 @@
     priority: int = 0
     submission: int = 0
     started_ms: int = 0
-    straggles_ms: int = 0
+    straggler_reported_ms: int = 0
     done_ms: int = 0
 
     @property
@@ -96,7 +96,7 @@
 
 
 @attrs.define
-class NotedEnd:
+class ListedEnd:
     """An end that the runner lists until it may be forgotten.
 
     Only ends that count for a stored job need to be kept until they are stored: a caller that
@@ -110,7 +110,7 @@
     noted_ms: int
     submission: int = 0
     stored: bool = False
-    outrun: bool = False
+    superseded: bool = False
 
     def to_row(self, number: int) -> orders.HeldRun:
         """Return the row that tells of it among what is held."""
@@ -157,17 +157,17 @@
     zone_closed: bool = False
     gone: bool = False
     leaving: bool = False  # it has said that it ends, and may still be at work
-    looked: bool = False
+    polled: bool = False
     reachable: bool = True
     clock_ms: int = 0
     clock_read_ms: int = 0
-    seen_end: int = 0
+    acknowledged_end: int = 0
     last_end: int = 0
     runs: dict[RunKey, Run] = attrs.Factory(dict)
-    ends: dict[int, NotedEnd] = attrs.Factory(dict)
+    ends: dict[int, ListedEnd] = attrs.Factory(dict)
     # Ends that nobody stores, the oldest first; the owner's stream may have failed before it heard
     # of them.
-    recent_ends: dict[RunKey, NotedEnd] = attrs.Factory(dict)
+    recent_ends: dict[RunKey, ListedEnd] = attrs.Factory(dict)
     used: Resources = ZERO_RESOURCES
     used_cpu_milli: Counter[str] = attrs.Factory(Counter)  # by queue
     health: RunnerHealth = attrs.Factory(RunnerHealth)
@@ -185,7 +185,7 @@
             return orders.DRAINING
         if self.zone_closed:
             return orders.ZONE_DRAINED
-        return orders.SUSPECT if self.health.resting_until_ms else orders.READY
+        return orders.SUSPECT if self.health.ejected_until_ms else orders.READY
 
     @property
     def free(self) -> Resources:
@@ -194,10 +194,10 @@
         There is none while a run's room is unknown, while the lease must lapse, and while the zone
         is drained.
         """
-        if self.must_lapse() or self.zone_closed:
+        if self.awaits_lapse() or self.zone_closed:
             return ZERO_RESOURCES
-        known = self.looked and self.reachable and self.capacity is not None
-        if not known or self.unknown_runs or (self.health.on_trial and self.runs):
+        known = self.polled and self.reachable and self.capacity is not None
+        if not known or self.unknown_runs or (self.health.half_open and self.runs):
             return ZERO_RESOURCES
         return self.capacity - self.used
 
@@ -205,7 +205,7 @@
         """Return a lower bound of the runner's clock now, also after both were suspended."""
         return self.clock_ms + int((awake_ms - self.clock_read_ms) * CLOCK_RATE_FLOOR)
 
-    def note_clock(self, clock_ms: int | None, awake_ms: int) -> None:
+    def update_clock(self, clock_ms: int | None, awake_ms: int) -> None:
         """Take a reading of the runner's clock from an answer that came just now.
 
         The reading was made before now, so counting on from now gives a lower bound.
@@ -267,30 +267,32 @@
         run.submission = submission
         run.claimed = True
 
-    def take_look(self, look: RunnerLook, now_ms: int) -> list[tuple[Run, orders.RunEvent]]:
+    def apply_snapshot(
+        self, poll: RunnerSnapshot, now_ms: int
+    ) -> list[tuple[Run, orders.RunEvent]]:
         """Bring the ledger up to what the runner shows; return what changed, run by run."""
-        self.looked = True
+        self.polled = True
         events = []
-        for ended in look.ended:
+        for ended in poll.ended:
             if ended.number > self.last_end:
-                events.append(self._note_end(ended, now_ms))
-        shown = {running.run: running.percent for running in look.running}
+                events.append(self._record_end(ended, now_ms))
+        shown = {running.run: running.percent for running in poll.running}
         for key, percent in shown.items():
             events.extend(self._note_running(key, percent, now_ms))
         for key in shown:  # each beside the others as this look shows them
             events.extend(self._judge_pace(self.runs[key], now_ms))
         for run in list(self.runs.values()):
-            if run.key not in shown and self._never_started(run, look.clock_ms):
+            if run.key not in shown and self._never_started(run, poll.clock_ms):
                 self.drop(run.key)
                 events.append((run, _event(run, orders.NOT_STARTED, orders.START_UNANSWERED)))
         return events
 
-    def _note_end(self, ended: EndedRun, now_ms: int) -> tuple[Run, orders.RunEvent]:
-        if not self.ends and self.seen_end < ended.number - 1:
-            self.seen_end = ended.number - 1  # the runner has forgotten all lower ones
+    def _record_end(self, ended: EndedRun, now_ms: int) -> tuple[Run, orders.RunEvent]:
+        if not self.ends and self.acknowledged_end < ended.number - 1:
+            self.acknowledged_end = ended.number - 1  # the runner has forgotten all lower ones
         self.last_end = ended.number
         run = self.drop(ended.run) or Run(ended.run, UNKNOWN_OWNER, 0, ZERO_RESOURCES, 0, now_ms)
-        noted = NotedEnd(ended.run, run.owner, run.epoch, ended.end, now_ms, run.submission)
+        noted = ListedEnd(ended.run, run.owner, run.epoch, ended.end, now_ms, run.submission)
         self._judge_end(run, ended.end, now_ms)
         noted.stored = not (run.kept and ended.end in (RunEnd.DONE, RunEnd.FAILED))
         self.ends[ended.number] = noted
@@ -299,7 +301,7 @@
         event = _event(run, orders.ENDED, ended.end.value, ended.number)
         return run, event
 
-    def _keep_recent(self, noted: NotedEnd) -> None:
+    def _keep_recent(self, noted: ListedEnd) -> None:
         """Keep an end for as long as its owner may still count on the run."""
         recent = self.recent_ends
         recent.pop(noted.key, None)
@@ -328,12 +330,12 @@
             run.percent = percent
             run.percent_ms = now_ms
         if run.phase == orders.HELD_STARTING:
-            self.note_started(run, now_ms)
+            self.mark_started(run, now_ms)
             return [(run, started(run))]
         return []
 
     @staticmethod
-    def note_started(run: Run, now_ms: int) -> None:
+    def mark_started(run: Run, now_ms: int) -> None:
         """Note that a run is at work."""
         run.phase = orders.HELD_RUNNING
         run.started_ms = now_ms
@@ -344,36 +346,36 @@
         if end is RunEnd.DONE:
             run.done_ms = now_ms
             ran_ms = now_ms - run.started_ms if run.started_ms else 0
-            self.health.note_done()
-            self.speed.note_end(run.key, ran_ms, run.estimate_ms, now_ms)
+            self.health.record_run_success()
+            self.speed.record_run(run.key, ran_ms, run.estimate_ms, now_ms)
         elif end is RunEnd.FAILED:
-            self.health.note_strike(now_ms)
+            self.health.record_run_failure(now_ms)
 
     def _judge_pace(self, run: Run, now_ms: int) -> list[tuple[Run, orders.RunEvent]]:
         """Tell the owner, now and then, of a run that stands still or crawls."""
         if run.stopping or run.phase == orders.HELD_STARTING:
             return []
-        if now_ms - run.straggles_ms < STRAGGLER_REPEAT_MS:
+        if now_ms - run.straggler_reported_ms < STRAGGLER_REPEAT_MS:
             return []
         pace = run.pace(now_ms)
-        still_ms = now_ms - run.percent_ms
+        stalled_ms = now_ms - run.percent_ms
         reason = ""
-        if still_ms > run.stall_ms:
-            reason = orders.STANDS_STILL
-            if not run.straggles_ms:
-                self.health.note_strike(now_ms)
+        if stalled_ms > run.stall_ms:
+            reason = orders.STALLED
+            if not run.straggler_reported_ms:
+                self.health.record_run_failure(now_ms)
         elif _crawls(pace):
-            reason = orders.CRAWLS
-            self.speed.note_projection(run.key, pace.total_ms, run.estimate_ms, now_ms)
+            reason = orders.SLOW
+            self.speed.record_projection(run.key, pace.total_ms, run.estimate_ms, now_ms)
         if not reason:
             return []
-        run.straggles_ms = now_ms
+        run.straggler_reported_ms = now_ms
         event = attrs.evolve(
             _event(run, orders.STRAGGLING, reason),
             percent=run.percent,
             ran_ms=pace.age_ms,
             left_ms=pace.left_ms,
-            still_ms=still_ms if reason == orders.STANDS_STILL else 0,
+            stalled_ms=stalled_ms if reason == orders.STALLED else 0,
             others_permille=self._others_permille(run, now_ms),
         )
         return [(run, event)]
@@ -399,31 +401,33 @@
         unsettled = run.phase == orders.HELD_STARTING and not run.calling
         return unsettled and clock_ms > run.start_expires_ms
 
-    def store_ends(self, numbers: tuple[int, ...], outrun: tuple[int, ...]) -> None:
+    def mark_ends_stored(self, numbers: tuple[int, ...], superseded: tuple[int, ...]) -> None:
         """Note that ends need not be kept; those outrun only once the lease has lapsed."""
         for number in numbers:
             if number in self.ends:
                 self.ends[number].stored = True
-        for number in outrun:
+        for number in superseded:
             if number in self.ends:
-                self.ends[number].outrun = True
+                self.ends[number].superseded = True
 
-    def must_lapse(self) -> bool:
+    def awaits_lapse(self) -> bool:
         """Tell whether an end waits for the lease to lapse before it may be let go."""
-        return any(end.outrun and not end.stored for end in self.ends.values())
+        return any(end.superseded and not end.stored for end in self.ends.values())
 
-    def note_lapse(self) -> None:
+    def record_lapse(self) -> None:
         """Note that the lease has lapsed: ends from before it count for nothing."""
         for end in self.ends.values():
-            if end.outrun:
+            if end.superseded:
                 end.stored = True
 
-    def advance_seen(self) -> int:
+    def advance_acknowledged(self) -> int:
         """Return the number up to which the runner may forget its ends."""
-        while self.seen_end + 1 in self.ends and self.ends[self.seen_end + 1].stored:
-            self.seen_end += 1
-            del self.ends[self.seen_end]
-        return self.seen_end
+        while (
+            self.acknowledged_end + 1 in self.ends and self.ends[self.acknowledged_end + 1].stored
+        ):
+            self.acknowledged_end += 1
+            del self.ends[self.acknowledged_end]
+        return self.acknowledged_end
 
     def held_runs(self, job_ids: frozenset[str] | None = None) -> tuple[orders.HeldRun, ...]:
         """Return all runs and ends, or those of some jobs."""
@@ -456,7 +460,7 @@
                 owners.add(HeldOwner(end.owner, True))
         return frozenset(owners)
 
-    def tell_adopted(self, key: RunKey, submission: int) -> orders.RunEvent | None:
+    def event_for_adopter(self, key: RunKey, submission: int) -> orders.RunEvent | None:
         """Return what its new owner has to hear of a run that ended before it was adopted."""
         if key in self.runs:
             return None
--- a/src/gapdrum/core/runner_models.py
+++ b/src/gapdrum/core/runner_models.py
@@ -47,7 +47,7 @@
 
 
 @attrs.frozen
-class RunnerLook:
+class RunnerSnapshot:
     """What runs at a runner and what has ended, at one reading of its steady clock."""
 
     clock_ms: int
--- a/src/gapdrum/core/runner_speed.py
+++ b/src/gapdrum/core/runner_speed.py
@@ -42,13 +42,13 @@
     _ended: deque[_Sample] = attrs.Factory(lambda: deque(maxlen=RUNS_KEPT))
     _under_way: dict[RunKey, _Sample] = attrs.Factory(dict)
 
-    def note_end(self, key: RunKey, ran_ms: int, estimate_ms: int, now_ms: int) -> None:
+    def record_run(self, key: RunKey, ran_ms: int, estimate_ms: int, now_ms: int) -> None:
         """Note a run that has done its work; nothing is learned where either time is not known."""
         self.forget(key)
         if ran_ms > 0 and estimate_ms > 0:
             self._ended.append(_Sample(ran_ms / estimate_ms, now_ms))
 
-    def note_projection(self, key: RunKey, total_ms: int, estimate_ms: int, now_ms: int) -> None:
+    def record_projection(self, key: RunKey, total_ms: int, estimate_ms: int, now_ms: int) -> None:
         """Note how long a run that is under way would take in all."""
         if estimate_ms > 0:
             self._under_way[key] = _Sample(total_ms / estimate_ms, now_ms)
--- a/src/gapdrum/core/runner_views.py
+++ b/src/gapdrum/core/runner_views.py
@@ -23,14 +23,14 @@
     heard_ms: int
     connected: bool = True
 
-    def is_quiet(self, now_ms: int) -> bool:
+    def is_stale(self, now_ms: int) -> bool:
         """Tell whether the agent was not heard for too long to be given work."""
         return not self.connected or now_ms - self.heard_ms > QUIET_MS
 
 
 @attrs.define(eq=False)
 class RunnerView:
-    """A runner; ``unseen`` are the orders that its last report does not include yet.
+    """A runner; ``unreported_orders`` are the orders that its last report does not include yet.
 
     It gets no work before its agent has told on this stream what it holds (``synced``):
     an order that crossed that statement would look as if it had never arrived.
@@ -45,7 +45,7 @@
     capacity: Resources = ZERO_RESOURCES
     reported_free: Resources = ZERO_RESOURCES
     orders_sent: int = 0
-    unseen: deque[tuple[int, Resources]] = attrs.Factory(deque)
+    unreported_orders: deque[tuple[int, Resources]] = attrs.Factory(deque)
     free: Resources = ZERO_RESOURCES
     out: set[Task] = attrs.Factory(set)
     synced: bool = False
@@ -66,35 +66,35 @@
         self.slowness_permille = report.slowness_permille
         self.speed_runs = report.speed_runs
         self.kept_cpu_milli = {row.queue: row.cpu_milli for row in report.kept}
-        while self.unseen and self.unseen[0][0] <= report.orders:
-            self.unseen.popleft()
+        while self.unreported_orders and self.unreported_orders[0][0] <= report.orders:
+            self.unreported_orders.popleft()
         self._count()
 
-    def keeps_from(self, queue: str, room: Resources) -> bool:
+    def is_kept_from(self, queue: str, room: Resources) -> bool:
         """Tell whether there is room for a task, and it is kept for other queues."""
         kept = self.kept_cpu_milli.get(queue, 0)
         return self.free.holds(room) and self.free.cpu_milli - room.cpu_milli < kept
 
     def may_use(self, queue: str, room: Resources) -> bool:
         """Tell whether there is room for a task that is not kept from its queue."""
-        return self.free.holds(room) and not self.keeps_from(queue, room)
+        return self.free.holds(room) and not self.is_kept_from(queue, room)
 
     def order(self, room: Resources) -> None:
         """Count an order that was sent."""
         self.orders_sent += 1
-        self.unseen.append((self.orders_sent, room))
+        self.unreported_orders.append((self.orders_sent, room))
         self.free = self.free - room
 
-    def restart_count(self, now_ms: int) -> None:
+    def reset_orders(self, now_ms: int) -> None:
         """Begin counting anew, as the stream is new."""
         self.orders_sent = 0
-        self.unseen.clear()
+        self.unreported_orders.clear()
         self.synced = False
         self.unsynced_ms = now_ms
         self._count()
 
     def _count(self) -> None:
         free = self.reported_free
-        for _, room in self.unseen:
+        for _, room in self.unreported_orders:
             free = free - room
         self.free = free
--- a/src/gapdrum/core/stragglers.py
+++ b/src/gapdrum/core/stragglers.py
@@ -89,11 +89,11 @@
         self, queue: str, task: Task, event: orders.RunEvent, sight: MoveContext
     ) -> MoveDecision:
         """Tell whether a run is placed anew, and count the move."""
-        still = event.detail == orders.STANDS_STILL
+        still = event.detail == orders.STALLED
         here_ms = None if still else event.left_ms
         elsewhere_ms = self._expect_elsewhere(queue, task, event, sight)
         if still:
-            moved = self._may_move_still(task, event.still_ms)
+            moved = self._may_move_still(task, event.stalled_ms)
         else:
             sooner = _is_sooner(elsewhere_ms, here_ms)
             moved = sooner and task.moves < MAX_MOVES and self.budget.spend()
@@ -101,10 +101,10 @@
             task.moves += 1
         return MoveDecision(moved, here_ms, elsewhere_ms)
 
-    def _may_move_still(self, task: Task, still_ms: int) -> bool:
+    def _may_move_still(self, task: Task, stalled_ms: int) -> bool:
         """Tell whether a run that stands still is placed anew; it would not end where it is."""
         may_spend = task.moves < MAX_MOVES and self.budget.spend()
-        return may_spend or still_ms >= still_pause_ms(task.moves)
+        return may_spend or stalled_ms >= still_pause_ms(task.moves)
 
     def _expect_elsewhere(
         self, queue: str, task: Task, event: orders.RunEvent, sight: MoveContext
--- a/src/gapdrum/core/subsets.py
+++ b/src/gapdrum/core/subsets.py
@@ -12,12 +12,12 @@
 # wide job, few enough that entries seldom race for the same room. Replays of 35 entries and 160
 # agents with a little more work than fits (two seeds): 10.2 messages a task and 2,286 of 11,554
 # orders refused, 13.8 and 3,059 if an agent serves six entries, with the same worth.
-SERVED_ENTRIES = 4
+ENTRIES_PER_AGENT = 4
 # An agent in an open zone serves so many entries of drained zones beyond its own choice: with three
 # zones they lose 11 of the 23 agents that serve them, and get as many back. While 1.2 times as much
 # comes as the open zones hold (replays of 65 agents, two seeds), the worst-served zone gets 0.95 of
 # what is owed to its callers, 0.91 without; all zones together get the same.
-DRAINED_SERVED = 1
+EXTRA_DRAINED_ENTRIES = 1
 PERMILLE = 1_000
 HASH_BYTES = 8
 
@@ -26,7 +26,7 @@
 class Candidate:
     """An entry that an agent knows.
 
-    ``is_down`` tells that a stream to it could not be had for a while, ``is_needed`` that the
+    ``is_down`` tells that a stream to it could not be had for a while, ``holds_work`` that the
     agent holds work of it. ``wanted_permille`` is the share of all agents that it asks for, and
     ``is_drained`` tells that its zone is drained while the agent's is not.
     """
@@ -34,7 +34,7 @@
     entry: str
     is_near: bool
     is_down: bool = False
-    is_needed: bool = False
+    holds_work: bool = False
     wanted_permille: int = 0
     is_drained: bool = False
 
@@ -52,15 +52,15 @@
     known = sorted(candidates, key=lambda one: _rank(agent, one.entry))
     if join_all:
         return frozenset(one.entry for one in known)
-    chosen = {one.entry for one in known if one.is_needed or _is_asked(agent, one)}
+    chosen = {one.entry for one in known if one.holds_work or _is_asked(agent, one)}
     live = 0
     for one in _by_preference(known):
         chosen.add(one.entry)
         live += not one.is_down
-        if live == SERVED_ENTRIES:
+        if live == ENTRIES_PER_AGENT:
             break
     drained = [one.entry for one in known if one.is_drained and one.entry not in chosen]
-    return frozenset(chosen.union(drained[:DRAINED_SERVED]))
+    return frozenset(chosen.union(drained[:EXTRA_DRAINED_ENTRIES]))
 
 
 def _by_preference(ranked: list[Candidate]) -> Iterator[Candidate]:
--- a/src/gapdrum/entry/admission.py
+++ b/src/gapdrum/entry/admission.py
@@ -8,7 +8,7 @@
 from gapdrum.core.jobs import begin_within_ms, longest_chain_ms
 from gapdrum.core.models import Step
 from gapdrum.core.placer import Placer
-from gapdrum.core.reach import View
+from gapdrum.core.reach import VisibleCapacity
 from gapdrum.timers import Timers
 
 # The wait is an estimate: only a job that would begin too late by this factor is refused at
@@ -33,7 +33,7 @@
         self,
         placer: Placer,
         timers: Timers,
-        views_elsewhere: Callable[[], Sequence[View]] = tuple,
+        views_elsewhere: Callable[[], Sequence[VisibleCapacity]] = tuple,
     ) -> None:
         self._placer = placer
         self._timers = timers
--- a/src/gapdrum/entry/lease.py
+++ b/src/gapdrum/entry/lease.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from gapdrum.core.reach import View
+from gapdrum.core.reach import VisibleCapacity
 from gapdrum.core.records import (
     LEASE_TABLE,
     UNPARTITIONED,
@@ -53,7 +53,7 @@
 class Lease:
     """Holds the lease of this entry and watches the others'.
 
-    ``on_lost`` is called when another entry has ended the lease, and ``on_orphans`` when a
+    ``on_answer_lost`` is called when another entry has ended the lease, and ``on_orphans`` when a
     life of an entry has ended, so that its jobs are without an owner.
     """
 
@@ -68,8 +68,8 @@
         self.instance = instance
         self.others: dict[str, SeenLease] = {}
         self.count_waiting: Callable[[], dict[str, int]] = dict
-        self.view_agents: Callable[[], View] = lambda: View(0, 0)
-        self.on_lost: Callable[[], None] = lambda: None
+        self.view_agents: Callable[[], VisibleCapacity] = lambda: VisibleCapacity(0, 0)
+        self.on_answer_lost: Callable[[], None] = lambda: None
         self.on_orphans: Callable[[], None] = lambda: None
         self._address = address
         self._store = store
@@ -132,7 +132,7 @@
                 await self.register()
             else:
                 await self._renew()
-            await self.look()
+            await self.poll()
         except StoreError as error:
             self._forget_staleness()
             self._log.write("lease_call_failed", code=error.code, reason=error.message)
@@ -161,7 +161,7 @@
         self._log.write("lease_lost", owner=self.owner, version=self._version)
         self._valid_until_ms = 0
         self._new_life()
-        self.on_lost()
+        self.on_answer_lost()
 
     def _is_own(self, row: Row) -> bool:
         try:
@@ -180,7 +180,7 @@
         view = self.view_agents()
         return EntryLease(self.incarnation, self._renewals, depths, view.agents, view.free_permille)
 
-    async def look(self) -> frozenset[str]:
+    async def poll(self) -> frozenset[str]:
         """Read all leases, end those that have lapsed, and return the owners that are left."""
         rows = await self._store.read_all(LEASE_TABLE, UNPARTITIONED)
         now_ms = self._timers.now_ms()
@@ -259,10 +259,10 @@
         except StoreError as error:
             self._log.write("lease_call_failed", code=error.code, reason=error.message)
 
-    def views_elsewhere(self) -> list[View]:
+    def views_elsewhere(self) -> list[VisibleCapacity]:
         """Return what the other entries see of the agents, by their last renewals."""
         leases = [seen.lease for seen in self.others.values()]
-        return [View(lease.agents, lease.free_permille) for lease in leases]
+        return [VisibleCapacity(lease.agents, lease.free_permille) for lease in leases]
 
     def waiting_elsewhere(self, queue: str) -> int:
         """Return how many jobs of a queue wait at other entries, by their last renewals."""
--- a/src/gapdrum/entry/program.py
+++ b/src/gapdrum/entry/program.py
@@ -13,7 +13,7 @@
 from gapdrum.core.endpoints import Endpoint
 from gapdrum.core.jobs import Job, Place
 from gapdrum.core.planned_shutdown import PlannedShutdown
-from gapdrum.core.reach import Reach, View
+from gapdrum.core.reach import Reach, VisibleCapacity
 from gapdrum.core.records import EntryAddress
 from gapdrum.entry.acceptance import Acceptor
 from gapdrum.entry.admission import Admission
@@ -166,7 +166,7 @@
         self.lease.count_waiting = self.dispatch.count_waiting
         self.lease.view_agents = self._view_agents
         self.lease.on_orphans = self.takeover.ask
-        self.lease.on_lost = self._lose_lease
+        self.lease.on_answer_lost = self._lose_lease
         self.links.dispatch = self.dispatch
         self.links.owner = lambda: self.lease.owner
         self.links.former_owners = lambda: tuple(self.lease.former_owners)
@@ -237,7 +237,7 @@
 
     def _take_zones(self) -> None:
         """Place nothing more in drained zones, and tell the agents."""
-        self.dispatch.fleet.closed_zones = self.zones.drains.zones
+        self.dispatch.fleet.drained_zones = self.zones.drains.zones
         self.links.broadcast(self.zones.drains_told())
         self.schedule_placement()
 
@@ -264,19 +264,19 @@
     def _tick(self) -> None:
         now_ms = self.timers.now_ms()
         self.callers.tick()
-        self.dispatch.check_silence(now_ms)
+        self.dispatch.expire_silent(now_ms)
         self.dispatch.requeue_unknown_tasks(now_ms)
         self._place_waiting()
         self.dispatch.refuse_unmeetable(now_ms)
 
-    def _view_agents(self) -> View:
+    def _view_agents(self) -> VisibleCapacity:
         fleet = self.dispatch.fleet
-        return View(fleet.count_open_agents(), fleet.free_permille())
+        return VisibleCapacity(fleet.count_open_agents(), fleet.free_permille())
 
     def _judge_reach(self) -> None:
         own, others = self._view_agents(), self.lease.views_elsewhere()
         work_waits = bool(self.dispatch.placer.demand)
-        if self.leaving or not self.reach.judge(own, others, work_waits, self.timers.now_ms()):
+        if self.leaving or not self.reach.adjust(own, others, work_waits, self.timers.now_ms()):
             return
         self.log.write(
             "reach_changed",
--- a/src/gapdrum/entry/takeover.py
+++ b/src/gapdrum/entry/takeover.py
@@ -87,7 +87,7 @@
         rows: dict[str, list[Row]] = {}
         for part in random.sample(JOB_PARTS, len(JOB_PARTS)):
             rows[part] = await self._store.read_all(OPEN_TABLE, part)
-        owners = await self._lease.look()
+        owners = await self._lease.poll()
         for part, found in rows.items():
             orphans = [row for row in found if self._is_orphan(row, owners)]
             for begin in range(0, len(orphans), CLAIM_BATCH):
--- a/src/gapdrum/members.py
+++ b/src/gapdrum/members.py
@@ -67,9 +67,9 @@
         """Take the agent's statement of its load and its clock."""
         self.reported_free = free
         self.received = max(self.received, received)
-        self.note_clock(time_ms, now_ms)
+        self.update_clock(time_ms, now_ms)
 
-    def note_clock(self, agent_time_ms: int, now_ms: int) -> None:
+    def update_clock(self, agent_time_ms: int, now_ms: int) -> None:
         """Take the agent's statement of its clock."""
         self.agent_time_ms = agent_time_ms
         self.heard_at_ms = now_ms
@@ -118,11 +118,11 @@
         if known is not None and known.agent == agent:
             if known.state == SILENT:
                 known.apply("return")
-            known.note_clock(hello.agent_time_ms, now_ms)
+            known.update_clock(hello.agent_time_ms, now_ms)
             known.sent = known.received = 0
             return known, None
         view = RunnerView(agent, hello.zone, hello.worker)
-        view.note_clock(hello.agent_time_ms, now_ms)
+        view.update_clock(hello.agent_time_ms, now_ms)
         view.drained = self._is_drained(hello.agent_id, hello.zone)
         self._any_drained = self._any_drained or view.drained
         self._views[hello.agent_id] = view
--- a/src/gapdrum/platform/runner_calls.py
+++ b/src/gapdrum/platform/runner_calls.py
@@ -5,7 +5,7 @@
 
 from gapdrum.core.endpoints import Endpoint
 from gapdrum.core.models import RunEnd, RunKey, TaskName
-from gapdrum.core.runner_models import EndedRun, RunnerLook, RunningTask
+from gapdrum.core.runner_models import EndedRun, RunnerSnapshot, RunningTask
 from gapdrum.exceptions import GapdrumError
 from gapdrum.transport.http_client import HttpClient, NoReplyError
 from gapdrum.transport.http_messages import HttpReply
@@ -72,15 +72,15 @@
         body = {"task": run.task.text, "attempt": run.attempt, "fencing_token": fence}
         return _clock(await self._post("/run-stop", body, timeout_ms))
 
-    async def look(
-        self, lease_until_ms: int, seen_end: int, fence: int, wait_ms: int, timeout_ms: int
-    ) -> RunnerLook:
+    async def poll(
+        self, lease_until_ms: int, acknowledged_end: int, fence: int, wait_ms: int, timeout_ms: int
+    ) -> RunnerSnapshot:
         """Renew the lease until a time on the runner's clock, and see what runs and has ended.
 
-        Ends up to ``seen_end`` are forgotten there. Waits up to ``wait_ms`` for a new end.
+        Ends up to ``acknowledged_end`` are forgotten there. Waits up to ``wait_ms`` for a new end.
         ``lease_until_ms`` of 0 renews nothing.
         """
-        body = {"fencing_token": fence, "seen_upto": seen_end, "wait_ms": wait_ms}
+        body = {"fencing_token": fence, "seen_upto": acknowledged_end, "wait_ms": wait_ms}
         if lease_until_ms:
             body["deadline_ms"] = lease_until_ms
         document = await self._post("/hold", body, timeout_ms)
@@ -90,7 +90,7 @@
             ended = tuple(_decode_ended(row) for row in document["ended"])
         except MALFORMED as error:
             raise NoReplyError(f"the look is malformed: {error!r}") from error
-        return RunnerLook(clock_ms, running, ended)
+        return RunnerSnapshot(clock_ms, running, ended)
 
     async def _post(self, path: str, body: dict[str, Any], timeout_ms: int) -> dict[str, Any]:
         encoded = json.dumps(body).encode()
--- a/src/gapdrum_standins/run_host.py
+++ b/src/gapdrum_standins/run_host.py
@@ -102,13 +102,13 @@
         self.ended_ms[self.last_end] = self.now_ms
         self._note(run.task, run.attempt, how)
 
-    def forget_ends(self, seen_end: int) -> None:
+    def forget_ends(self, acknowledged_end: int) -> None:
         """Forget ends; one that a lapse of the lease came after does not count any more."""
         for number, task, attempt, how, _ in self.ended:
-            if number <= seen_end and how == "done":
+            if number <= acknowledged_end and how == "done":
                 void = self.lapsed_ms >= self.ended_ms[number]
                 self._note(task, attempt, "forgotten_after_lapse" if void else "forgotten")
-        self.ended = [row for row in self.ended if row[0] > seen_end]
+        self.ended = [row for row in self.ended if row[0] > acknowledged_end]
 
     def _note(self, task: str, attempt: int, how: str) -> None:
         row = {
--- a/tools/load_policies.py
+++ b/tools/load_policies.py
@@ -66,7 +66,7 @@
 @switch
 def subsets() -> Patches:
     """Let each agent serve all entries."""
-    return [mock.patch.object(core_subsets, "SERVED_ENTRIES", NEVER)]
+    return [mock.patch.object(core_subsets, "ENTRIES_PER_AGENT", NEVER)]
 
 
 @switch
@@ -160,13 +160,13 @@
 @switch
 def ejection() -> Patches:
     """Let runners that fail or stand still get work like others."""
-    return [mock.patch.object(runner_health, "STRIKES_UNTIL_SUSPECT", NEVER)]
+    return [mock.patch.object(runner_health, "FAILURES_UNTIL_SUSPECT", NEVER)]
 
 
 @switch
 def short_rests() -> Patches:
     """Let suspect runners rest for 5 s."""
-    return [mock.patch.object(runner_health, "REST_MS", 5_000)]
+    return [mock.patch.object(runner_health, "EJECTION_MS", 5_000)]
 
 
 @switch
@@ -190,7 +190,7 @@
 @switch
 def drained_served() -> Patches:
     """Let agents serve entries of drained zones like others."""
-    return [mock.patch.object(core_subsets, "DRAINED_SERVED", 0)]
+    return [mock.patch.object(core_subsets, "EXTRA_DRAINED_ENTRIES", 0)]
 
 
 @alternative
@@ -241,11 +241,11 @@
     begin_by_70=_set(jobs, BEGIN_SHARE=0.7),
     doubt_100=_set(admission, DOUBT_FACTOR=1.0),
     doubt_250=_set(admission, DOUBT_FACTOR=2.5),
-    drained_served_2=_set(core_subsets, DRAINED_SERVED=2),
+    drained_served_2=_set(core_subsets, EXTRA_DRAINED_ENTRIES=2),
     candidates_2=_set(placement_rules, CANDIDATES=2),
     candidates_8=_set(placement_rules, CANDIDATES=8),
-    serve_6=_set(core_subsets, SERVED_ENTRIES=6),
-    serve_8=_set(core_subsets, SERVED_ENTRIES=8),
+    serve_6=_set(core_subsets, ENTRIES_PER_AGENT=6),
+    serve_8=_set(core_subsets, ENTRIES_PER_AGENT=8),
     reports_10=_set(agent_reports, SCARCE_INTERVAL_MS=10, RELAXED_INTERVAL_MS=25),
     reports_50=_set(agent_reports, SCARCE_INTERVAL_MS=50, RELAXED_INTERVAL_MS=100),
     priority_60=_set(placement_rules, PRIORITY_WEIGHT=0.6),
--- a/tools/load_replay.py
+++ b/tools/load_replay.py
@@ -104,9 +104,9 @@
 
     def open(self, entries: list["VirtualEntry"]) -> None:
         """Join the entries that it serves, and begin to look, beat and report."""
-        self.keeper.look()
+        self.keeper.poll()
         self.arrange(entries, frozenset())
-        self.timers.subscribe(LOOK_INTERVAL_MS, self.keeper.look)
+        self.timers.subscribe(LOOK_INTERVAL_MS, self.keeper.poll)
         self.timers.subscribe(orders.BEAT_INTERVAL_MS, self._beat)
 
     def arrange(self, entries: list["VirtualEntry"], drained: frozenset[str]) -> None:
@@ -236,7 +236,7 @@
 
     def _tick(self) -> None:
         now_ms = self.timers.now_ms()
-        self.dispatch.check_silence(now_ms)
+        self.dispatch.expire_silent(now_ms)
         self._place_waiting()
         self.dispatch.refuse_unmeetable(now_ms)
 
@@ -402,7 +402,7 @@
                 ARRANGE_MS, lambda agent=agent: agent.arrange(self.entries, zones)
             )
         for entry in self.entries:
-            entry.dispatch.fleet.closed_zones = zones
+            entry.dispatch.fleet.drained_zones = zones
 
     def _sample(self) -> None:
         at_ms = self.timers.now_ms() - self.begin_ms
--- a/tools/planted.py
+++ b/tools/planted.py
@@ -80,14 +80,14 @@
 @mechanism
 def ends() -> None:
     """Let ends go at the runner before they are stored."""
-    note_end = RunnerLedger._note_end
+    note_end = RunnerLedger._record_end
 
     def forget(self, ended, now_ms):
         noted = note_end(self, ended, now_ms)
         self.ends[ended.number].stored = True
         return noted
 
-    RunnerLedger._note_end = forget
+    RunnerLedger._record_end = forget
 
 
 @mechanism
@@ -122,8 +122,8 @@
 @mechanism
 def resubmission() -> None:
     """Hold what runs for a waiting caller as long as what runs for a stored job."""
-    hold_ms = RunBounds.hold_ms
-    RunBounds.hold_ms = lambda self, _kept: hold_ms(self, kept=True)
+    lease_duration_ms = RunBounds.lease_duration_ms
+    RunBounds.lease_duration_ms = lambda self, _kept: lease_duration_ms(self, kept=True)
 
 
 @mechanism
--- a/tools/platform_system.py
+++ b/tools/platform_system.py
@@ -12,7 +12,7 @@
 import urllib3
 from local_system import HOST, READY_TIMEOUT_S, Process, find_port, wait_for
 
-from gapdrum.core.subsets import SERVED_ENTRIES
+from gapdrum.core.subsets import ENTRIES_PER_AGENT
 
 ZONES = ("plaine-nord", "moka-hall", "curepipe-hall")
 UPSTREAM = "inspect-desk"
@@ -102,7 +102,7 @@
             wait_for(
                 lambda port=port: self._status(port, "/readyz") == 200, "an entry is ready", ready_s
             )
-        served = min(len(self.entries), SERVED_ENTRIES)
+        served = min(len(self.entries), ENTRIES_PER_AGENT)
         for number in range(len(self.agents)):
             wait_for(
                 lambda number=number: self._is_joined(number, served),
--- a/tools/virtual_runner.py
+++ b/tools/virtual_runner.py
@@ -13,7 +13,7 @@
 from gapdrum.core.models import Resources, RunEnd, RunKey
 from gapdrum.core.room_shares import RoomShares
 from gapdrum.core.runner_ledger import Run, RunnerLedger
-from gapdrum.core.runner_models import EndedRun, RunnerLook, RunningTask
+from gapdrum.core.runner_models import EndedRun, RunnerSnapshot, RunningTask
 
 UPSTREAM = "workers"
 RUN_LEASE_MS = 1_000
@@ -145,7 +145,7 @@
         run.left_ms -= (now_ms - run.since_ms) * self.speed * self.pace
         run.since_ms = now_ms
 
-    def look(self, seen: int) -> RunnerLook:
+    def poll(self, seen: int) -> RunnerSnapshot:
         """Return what runs and what has ended since."""
         self.ended = [end for end in self.ended if end.number > seen]
         rows = []
@@ -153,7 +153,7 @@
             self._count_work(run)
             percent = int(100 * (1 - max(0.0, run.left_ms) / run.work_ms))
             rows.append(RunningTask(run.key, min(99, percent)))
-        return RunnerLook(self.timers.now_ms(), tuple(rows), tuple(self.ended))
+        return RunnerSnapshot(self.timers.now_ms(), tuple(rows), tuple(self.ended))
 
 
 class VirtualStarts(RunnerStarts):
@@ -206,7 +206,7 @@
             ledger, None, grants, RUN_LEASE_MS, self._timers, log, self._report, shares=shares
         )
         self.starts = VirtualStarts(self._context, runner, work_of)
-        runner.on_change = lambda: self._timers.call_after(CALL_MS, self.look)
+        runner.on_change = lambda: self._timers.call_after(CALL_MS, self.poll)
 
     @property
     def runner_id(self) -> str:
@@ -226,16 +226,18 @@
         """Return the room that an owner may use now."""
         return self._context.free_for(owner, self._timers.now_ms())
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Look at the runner, and tell what has changed."""
         if self.ledger.gone:
             return
         now_ms = self._timers.now_ms()
         self.starts.stop_what_must(now_ms)
-        was_resting = bool(self.ledger.health.resting_until_ms)
-        if was_resting and not self.ledger.health.is_resting(now_ms):
+        was_resting = bool(self.ledger.health.ejected_until_ms)
+        if was_resting and not self.ledger.health.is_ejected(now_ms):
             self._report([])
-        events = self.ledger.take_look(self.runner.look(self.ledger.advance_seen()), now_ms)
+        events = self.ledger.apply_snapshot(
+            self.runner.poll(self.ledger.advance_acknowledged()), now_ms
+        )
         if events:
             self._report(events)
 
