--- a/features/steps/lost_answer_steps.py
+++ b/features/steps/lost_answer_steps.py
@@ -8,7 +8,7 @@
 from platform_core_steps import BOUNDS, JOB, OWNER, new_log
 
 from gapdrum.agent.grants import Grants
-from gapdrum.agent.runner_keeper import RunnerKeeper
+from gapdrum.agent.runner_controller import RunnerController
 from gapdrum.core import orders
 from gapdrum.core.endpoints import Endpoint
 from gapdrum.core.models import Resources, RunEnd, RunKey, TaskName
@@ -133,18 +133,18 @@
     context.events = []  # (when, run, event)
     context.room = []  # (when, whether there is any)
 
-    def report(keeper, events):
+    def report(controller, events):
         context.events.extend((loop.now_ms(), run, event) for run, event in events)
-        context.room.append((loop.now_ms(), keeper.ledger.free.cpu_milli > 0))
+        context.room.append((loop.now_ms(), controller.ledger.free.cpu_milli > 0))
 
     context.grants = Grants(BOUNDS)
-    context.keeper = RunnerKeeper(
+    context.controller = RunnerController(
         "i-1", Endpoint("127.0.0.1", 1), context.grants, 1_000, loop, new_log(loop), report,
-        lambda keeper: report(keeper, []),
+        lambda controller: report(controller, []),
     )  # fmt: skip
-    context.keeper.ledger.capacity = Resources(100_000, 10_000, 0)
+    context.controller.ledger.capacity = Resources(100_000, 10_000, 0)
     context.runner = LosingRunner(loop, is_lost)
-    context.keeper._context.calls = context.runner
+    context.controller._context.calls = context.runner
 
 
 @given("a keeper of a runner that loses every fourth answer")
@@ -177,13 +177,13 @@
 def answers_late(context):
     new_keeper(context, lambda number: False)
     context.runner.late_ms = 20
-    context.keeper._context.schedule.record_lost_answer(BEGIN_MS)
+    context.controller._context.schedule.record_lost_answer(BEGIN_MS)
 
 
 def add_run(context, number, begin_ms, end_ms):
     key = context.runner.run(number, begin_ms, end_ms)
     run = Run(key, OWNER, 1, ROOM, 0, begin_ms, phase=orders.HELD_RUNNING, kept=False)
-    context.keeper.ledger.begin(run)
+    context.controller.ledger.begin(run)
     return key
 
 
@@ -191,7 +191,7 @@
     """Let the keeper look for some time, with the owner heard all the while."""
 
     async def keep():
-        tasks = [asyncio.create_task(one) for one in (context.keeper.keep(), *also)]
+        tasks = [asyncio.create_task(one) for one in (context.controller.keep(), *also)]
         for _ in range(time_ms // 50):
             if not getattr(context, "silent", False):
                 context.grants.note(OWNER, context.loop.now_ms(), True)
@@ -282,7 +282,7 @@
         row = orders.OrderedRun(0, 0, 1, 500, 10, 0, 100)
         clock_ms = context.loop.now_ms()
         order = orders.StartOrder("i-1", JOB, 1, "{}", clock_ms, False, (row,))
-        assert not context.keeper.starts.order(OWNER, order, clock_ms)
+        assert not context.controller.starts.order(OWNER, order, clock_ms)
         await asyncio.sleep(0.119)
         context.unanswered_ms = context.loop.now_ms() + 1
 
@@ -330,7 +330,7 @@
     ended = [run.key for _, run, event in context.events if event.kind == orders.ENDED]
     assert ended == [key for _, key in context.runner.ends], ended
     assert context.runner.most_under_way > 1
-    assert not context.keeper.ledger.runs, context.keeper.ledger.runs
+    assert not context.controller.ledger.runs, context.controller.ledger.runs
 
 
 @when("its owner falls silent for {time_ms:d} ms")
@@ -361,4 +361,4 @@
 def lost_once(context):
     lost = [event for _, _, event in context.events if event.kind == orders.LOST]
     assert [event.detail for event in lost] == [orders.RUNNER_GONE], lost
-    assert context.keeper.ledger.gone
+    assert context.controller.ledger.gone
--- a/features/steps/other_writer_steps.py
+++ b/features/steps/other_writer_steps.py
@@ -82,7 +82,7 @@
         await take(registry, beat_of("i-2", json.dumps(known).encode()))
         for runner, body in beats:
             context.status = await take(registry, beat_of(runner, body))
-        context.known = list(context.keepers)
+        context.known = list(context.controllers)
         context.lines = [json.loads(line) for line in registry._log._lines]
 
     asyncio.run(play())
@@ -106,7 +106,7 @@
 
 @then('the runner "{runner}" is still ready')
 def still_ready(context, runner):
-    assert not context.keepers[runner].ledger.draining
+    assert not context.controllers[runner].ledger.draining
 
 
 @when('the body {body} comes as a heartbeat of "{runner}"')
@@ -254,7 +254,7 @@
     context.connected = []
     links = EntryLinks(lambda: None, timers, log, Counter(), Counter())
     links._connect = lambda link, listed=True: context.connected.append(link.entry)
-    links.arrange = lambda: None
+    links.update_links = lambda: None
     context.links = links
     directory = EntryDirectory(None, links, log)
     values = {
--- a/features/steps/platform_core_steps.py
+++ b/features/steps/platform_core_steps.py
@@ -14,10 +14,10 @@
 from gapdrum.agent.entry_orders import EntryOrders
 from gapdrum.agent.grants import Grants
 from gapdrum.agent.lease_bound import LeaseBound
-from gapdrum.agent.reports import Reports
+from gapdrum.agent.notifier import EntryNotifier
+from gapdrum.agent.run_launcher import RunLauncher
 from gapdrum.agent.runner_context import RunnerContext
-from gapdrum.agent.runner_keeper import RunnerKeeper
-from gapdrum.agent.runner_starts import RunnerStarts
+from gapdrum.agent.runner_controller import RunnerController
 from gapdrum.background import Background
 from gapdrum.codec import Decoder
 from gapdrum.core import orders
@@ -177,14 +177,14 @@
 
 @when("a renewal until {sent:d} is sent, and one until {unsent:d} is not")
 def renewals(context, sent, unsent):
-    first, second = context.bound.propose(sent), context.bound.propose(unsent)
-    context.bound.settle(first, True)
-    context.bound.settle(second, False)
+    first, second = context.bound.begin_renewal(sent), context.bound.begin_renewal(unsent)
+    context.bound.end_renewal(first, True)
+    context.bound.end_renewal(second, False)
 
 
 @when("a renewal until {ends:d} is under way")
 def renewal_under_way(context, ends):
-    context.bound.propose(ends)
+    context.bound.begin_renewal(ends)
 
 
 @then("the lease ends at {ends:d}")
@@ -534,7 +534,7 @@
     calls = RunnerCalls(Endpoint("127.0.0.1", 1), "i-1")
     runner = RunnerContext(ledger, calls, grants, 1_000, timers, new_log(timers), list)
     context.timers = timers
-    context.starts = RunnerStarts(runner)
+    context.starts = RunLauncher(runner)
 
 
 @given("a draining runner with an agent")
@@ -582,15 +582,15 @@
     timers = ManualTimers()
     context.room_told = []
 
-    def report(keeper, _events):
-        context.room_told.append(bool(keeper.ledger.free.cpu_milli))
+    def report(controller, _events):
+        context.room_told.append(bool(controller.ledger.free.cpu_milli))
 
-    context.keeper = RunnerKeeper(
+    context.controller = RunnerController(
         "i-1", Endpoint("127.0.0.1", 1), Grants(BOUNDS), 1_000, timers, new_log(timers), report,
-        lambda keeper: report(keeper, []),
+        lambda controller: report(controller, []),
     )  # fmt: skip
-    context.keeper.ledger.capacity = Resources(4_000, 100, 0)
-    context.keeper._context.calls = context.calls = LookedAt(unanswered)
+    context.controller.ledger.capacity = Resources(4_000, 100, 0)
+    context.controller._context.calls = context.calls = LookedAt(unanswered)
 
 
 @given("a keeper of a runner that resets every look")
@@ -628,16 +628,16 @@
         link.send = link.sent.append
         context.links.append(link)
     new_keeper(context, lambda _look: False)
-    context.keeper.ledger.upstream = "inspect-desk"
-    context.keeper.ledger.polled = True
-    context.reports = Reports(context.links, {"i-1": context.keeper}, ManualTimers())
+    context.controller.ledger.upstream = "inspect-desk"
+    context.controller.ledger.polled = True
+    context.reports = EntryNotifier(context.links, {"i-1": context.controller}, ManualTimers())
 
 
 @when('a run of entry "{owner}" has ended')
 def run_of_entry_ended(context, owner):
     run = Run(RUN, owner, 1, Resources(500), 0, 0)
     event = orders.RunEvent(TASK.text, 1, 1, orders.ENDED, "done", 1)
-    context.reports.report(context.keeper, [(run, event)])
+    context.reports.report(context.controller, [(run, event)])
 
 
 def kinds_told(context):
@@ -662,13 +662,13 @@
 @when("the offer to it has lapsed")
 def offer_to_it_lapsed(context):
     context.reports._timers.time_ms += OFFER_MS
-    context.keeper._timers.time_ms += OFFER_MS
+    context.controller._timers.time_ms += OFFER_MS
 
 
 def room_seen(context):
     """Return the room that each entry sees after the next interval, in thousandths of a core."""
     context.reports.send_room()
-    return {link.owner: link.told_room["i-1"].free_cpu_milli for link in context.links}
+    return {link.owner: link.sent_room["i-1"].free_cpu_milli for link in context.links}
 
 
 @then('at the next interval entry "{owner}" sees room, and the others none')
@@ -686,7 +686,7 @@
 @given("a run of a former owner has {ended}")
 def former_run(context, ended):
     end = RunEnd.DONE if ended == "ended as done" else RunEnd.STOPPED
-    ledger = context.keeper.ledger
+    ledger = context.controller.ledger
     ledger.begin(Run(RUN, "former/life", 1, Resources(500), 0, 0, phase=orders.HELD_RUNNING))
     ledger.apply_snapshot(RunnerSnapshot(10, (), (EndedRun(1, RUN, end),)), 10)
     ledger.advance_acknowledged()
@@ -697,7 +697,7 @@
     timers = ManualTimers()
     entry_orders = EntryOrders(
         context.links,
-        {"i-1": context.keeper},
+        {"i-1": context.controller},
         Grants(BOUNDS),
         context.reports,
         timers,
@@ -718,7 +718,7 @@
 @when("it keeps looking for {duration:d} ms")
 def keep_looking(context, duration):
     async def run():
-        keeping = asyncio.create_task(context.keeper.keep())
+        keeping = asyncio.create_task(context.controller.keep())
         await asyncio.sleep(duration / 1_000)
         keeping.cancel()
 
@@ -1336,10 +1336,10 @@
 
 @when("an end of an unknown owner is {age_ms:d} ms old")
 def stray_end(context, age_ms):
-    ledger = context.keeper.ledger
+    ledger = context.controller.ledger
     now_ms = context.reports._timers.now_ms()
     ledger.ends = {1: ListedEnd(RUN, UNKNOWN_OWNER, 0, RunEnd.DONE, now_ms - age_ms)}
-    context.reports.tell_orphans()
+    context.reports.resend_unstored_ends()
 
 
 @then("{count:d} entries are told of it")
@@ -1350,12 +1350,12 @@
 
 @then("the agent holds nothing that all entries would have to hear of")
 def holds_no_stray(context):
-    assert not context.keeper.ledger.held_owners(context.reports._timers.now_ms())
+    assert not context.controller.ledger.held_owners(context.reports._timers.now_ms())
 
 
 @then("the agent holds what all entries would have to hear of")
 def holds_stray(context):
-    held = context.keeper.ledger.held_owners(context.reports._timers.now_ms())
+    held = context.controller.ledger.held_owners(context.reports._timers.now_ms())
     assert [one.owner for one in held] == [UNKNOWN_OWNER], held
 
 
--- a/features/steps/resubmission_steps.py
+++ b/features/steps/resubmission_steps.py
@@ -15,8 +15,8 @@
 
 from gapdrum.agent.entry_links import EntryLink
 from gapdrum.agent.program import Agent
-from gapdrum.agent.runner_keeper import POLL_WAIT_MS, RunnerKeeper
-from gapdrum.agent.runner_starts import START_WINDOW_MS
+from gapdrum.agent.run_launcher import START_EXPIRY_MS
+from gapdrum.agent.runner_controller import POLL_WAIT_MS, RunnerController
 from gapdrum.core import orders
 from gapdrum.core.endpoints import Endpoint
 from gapdrum.core.models import Resources
@@ -149,16 +149,16 @@
     )  # fmt: skip
     log = EventLog("side-1", timers)
     context.agent = agent = Agent(boot, timers, log)
-    context.keeper = keeper = RunnerKeeper(
+    context.controller = controller = RunnerController(
         "i-1", store, agent.grants, boot.run_lease_ms, timers, log,
-        agent.reports.report, agent.reports.tell_holdings,
+        agent.notifier.report, agent.notifier.broadcast_holdings,
     )  # fmt: skip
-    keeper.ledger.capacity = Resources(4_000, 100, 0)
-    keeper._context.calls = context.runner = LeasedRunner(timers, running)
-    keeper.starts._call_start = lambda run, _spec, _ends_ms: context.runs.append(run)
-    keeper.starts._send_stop = lambda key, now_ms: context.stops.append(now_ms)
+    controller.ledger.capacity = Resources(4_000, 100, 0)
+    controller._context.calls = context.runner = LeasedRunner(timers, running)
+    controller.starts._call_start = lambda run, _spec, _ends_ms: context.runs.append(run)
+    controller.starts._send_stop = lambda key, now_ms: context.stops.append(now_ms)
     context.runs, context.stops = [], []
-    agent.keepers["i-1"] = keeper
+    agent.controllers["i-1"] = controller
     agent.links._links["entry-1"] = context.link = EntryLink("entry-1", ADDRESS)
 
 
@@ -176,7 +176,7 @@
 
 def step(context):
     """Let the keeper do what it does from one look to the next."""
-    asyncio.run(context.keeper._step())
+    asyncio.run(context.controller._step())
 
 
 @given("a keeper of a runner that holds a run of an earlier life of the agent")
@@ -228,7 +228,7 @@
     context.agent.orders.take(context.link, order)
     (run,) = context.runs
     run.calling = False
-    context.keeper.ledger.mark_started(run, context.timers.now_ms())
+    context.controller.ledger.mark_started(run, context.timers.now_ms())
     context.runner.running = (RunningTask(RUN, 5),)
     context.since_ms = context.timers.now_ms()
 
@@ -294,8 +294,8 @@
         raise NoReplyError("lost")
 
     context.runner.start = leave_unanswered
-    ends_ms = context.timers.now_ms() + START_WINDOW_MS
-    asyncio.run(asyncio.wait_for(context.keeper.starts._start(run, "{}", ends_ms), 1.0))
+    ends_ms = context.timers.now_ms() + START_EXPIRY_MS
+    asyncio.run(asyncio.wait_for(context.controller.starts._start(run, "{}", ends_ms), 1.0))
 
 
 @then("its start was called once")
--- a/features/steps/run_ownership_steps.py
+++ b/features/steps/run_ownership_steps.py
@@ -217,7 +217,7 @@
         raise RunnerRejectedError(409, "old", context.timers.now_ms())
 
     context.runner.start = reject
-    asyncio.run(context.keeper.starts._start(run, "{}", run.start_expires_ms))
+    asyncio.run(context.controller.starts._start(run, "{}", run.start_expires_ms))
 
 
 @then("its owner is told at once that it was not started")
@@ -244,12 +244,12 @@
     context.agent.orders.take(other, order)
     ended = EndedRun(1, RUN, RunEnd.STOPPED)
     poll = SimpleNamespace(clock_ms=context.timers.now_ms() + 5, running=(), ended=(ended,))
-    context.keeper._apply_snapshot(poll)
+    context.controller._apply_snapshot(poll)
 
 
 @then("no room is taken")
 def no_room_taken(context):
-    ledger = context.keeper.ledger
+    ledger = context.controller.ledger
     assert not ledger.runs
     assert ledger.used.cpu_milli == 0, ledger.used
 
@@ -284,7 +284,7 @@
         context.timers.time_ms += 20
         if context.stops:  # the runner ends it within 50 ms
             context.runner.running = (RunningTask(RUN, 5),)
-            context.keeper.ledger.drop(OTHER_RUN)
+            context.controller.ledger.drop(OTHER_RUN)
         base.echo(context)
         base.step(context)
         if context.runner.renewals[-1] and context.renewed_ms is None:
@@ -392,13 +392,15 @@
         calls.append(1)
         if len(calls) == shown_at:
             poll = RunnerSnapshot(context.timers.now_ms(), (RunningTask(RUN, 5),), ())
-            context.agent.reports.report(context.keeper, context.keeper._apply_snapshot(poll))
+            context.agent.notifier.report(
+                context.controller, context.controller._apply_snapshot(poll)
+            )
         if len(calls) == 1:
             raise NoReplyError("lost")
         raise RunnerRejectedError(409, "late", context.timers.now_ms() + 701)
 
     context.runner.start = start
-    asyncio.run(context.keeper.starts._start(run, "{}", run.start_expires_ms))
+    asyncio.run(context.controller.starts._start(run, "{}", run.start_expires_ms))
     return len(calls)
 
 
@@ -412,7 +414,7 @@
 @given("an idle runner that grants leases of {lease_ms:d} ms and was looked at just now")
 def idle_runner(context, lease_ms):
     base.new_agent(context)
-    context.keeper._context.run_lease_ms = lease_ms
+    context.controller._context.run_lease_ms = lease_ms
     base.join(context)
     base.step(context)
     base.step(context)
@@ -447,7 +449,7 @@
     context.agent.links._end_stream(context.link)
     ended = EndedRun(1, RUN, RunEnd.DONE)
     poll = RunnerSnapshot(context.timers.now_ms(), (), (ended,))
-    context.agent.reports.report(context.keeper, context.keeper._apply_snapshot(poll))
+    context.agent.notifier.report(context.controller, context.controller._apply_snapshot(poll))
     context.timers.time_ms += time_ms
     base.join(context)
 
--- a/features/steps/silence_steps.py
+++ b/features/steps/silence_steps.py
@@ -174,10 +174,10 @@
 class FakeReports:
     """Passes over what keepers report."""
 
-    def report(self, _keeper, _events):
+    def report(self, _ensure_controller, _events):
         pass
 
-    def tell_holdings(self, _keeper):
+    def broadcast_holdings(self, _ensure_controller):
         pass
 
     def send_room(self):
@@ -205,10 +205,10 @@
 
     timers = Timers()
     boot = SimpleNamespace(run_lease_ms=1_000, runner=None, machine_list=None, zone="zone-1")
-    context.keepers = {}
+    context.controllers = {}
     return RunnerRegistry(
         boot,
-        context.keepers,
+        context.controllers,
         Grants(BOUNDS),
         FakeReports(),
         timers,
@@ -235,8 +235,12 @@
         now_listening[0] = listening
         for beat in beats:
             context.status = await take(registry, beat)
-        context.known = [name for name, keeper in context.keepers.items() if not keeper.ledger.gone]
-        context.draining = [keeper.ledger.draining for keeper in context.keepers.values()]
+        context.known = [
+            name for name, controller in context.controllers.items() if not controller.ledger.gone
+        ]
+        context.draining = [
+            controller.ledger.draining for controller in context.controllers.values()
+        ]
 
     asyncio.run(run())
 
--- a/features/steps/submission_steps.py
+++ b/features/steps/submission_steps.py
@@ -48,8 +48,8 @@
         self.context = context
         self.agent, self.link = context.agent, context.link
         self.timers: ManualTimers = context.timers
-        context.runner = context.keeper._context.calls = ListingRunner(self.timers)
-        context.keeper.ledger.upstream = QUEUE.upstream
+        context.runner = context.controller._context.calls = ListingRunner(self.timers)
+        context.controller.ledger.upstream = QUEUE.upstream
         self.outside = Effects()
         self.dispatch = build_dispatch(
             "plaine-nord", self.outside, lambda: True, self.timers.now_ms()
@@ -104,7 +104,7 @@
 
     def tell_owner(self):
         """Deliver what the agent has sent to the owner."""
-        self.agent.reports.send_room()
+        self.agent.notifier.send_room()
         self.deliver(self.take_told())
 
     def tell_agent(self):
@@ -236,15 +236,15 @@
     pair = context.pair
     pair.submit()
     if fate == "refused":
-        context.keeper.set_zone_closed(True)
+        context.controller.set_zone_closed(True)
         assert pair.tell_agent()
-        context.keeper.set_zone_closed(False)
+        context.controller.set_zone_closed(False)
     else:
         keys = pair.start_all()
         if fate == "lost":
-            settled = list(context.keeper.ledger.runs.values())
-            lost = context.keeper.ledger.lose(settled, orders.LEASE_LAPSED)
-            pair.agent.reports.report(context.keeper, lost)
+            settled = list(context.controller.ledger.runs.values())
+            lost = context.controller.ledger.lose(settled, orders.LEASE_LAPSED)
+            pair.agent.notifier.report(context.controller, lost)
             context.runner.running = ()
         else:
             end_all(context, keys, RunEnd(fate.removeprefix("ended as ")))
@@ -281,7 +281,7 @@
     found = orders.HeldRun(name, attempt, 0, orders.HELD_ENDED, end, 7)
     pair.deliver([orders.RunEvents("i-1", (rejected,))])
     pair.dispatch.placer.place_waiting(pair.timers.now_ms())
-    rows = (*context.keeper.ledger.held_runs(), found)
+    rows = (*context.controller.ledger.held_runs(), found)
     pair.deliver([orders.Holdings("i-1", (), rows)])
 
 
--- a/features/steps/subset_steps.py
+++ b/features/steps/subset_steps.py
@@ -257,8 +257,8 @@
     links.on_message = lambda _link, message: context.taken.append(message)
     for name, entry in context.entries.items():
         await entry.listen()
-        links.list_entry(name, EntryAddress("life", "zone", HOST, entry.port))
-    links.arrange()
+        links.register_entry(name, EntryAddress("life", "zone", HOST, entry.port))
+    links.update_links()
     await wait_until(lambda: len(joined(context)) == min(count, ENTRIES_PER_AGENT))
 
 
@@ -273,12 +273,12 @@
 
 
 async def arrange_until(context, is_true, within_s=5.0):
-    async def arrange():
+    async def update_links():
         while True:
-            context.links.arrange()
+            context.links.update_links()
             await asyncio.sleep(0.05)
 
-    arranging = asyncio.create_task(arrange())
+    arranging = asyncio.create_task(update_links())
     try:
         await wait_until(is_true, within_s)
     finally:
@@ -332,7 +332,7 @@
     served = {one for one in context.entries if context.entries[one].dispatch.fleet.runners}
     while not any(link.leaving for link in context.links):
         await asyncio.sleep(0.05)
-        context.links.arrange()
+        context.links.update_links()
     left = next(link.entry for link in context.links if link.leaving)
     assert left in served
     entry = context.entry = context.entries[left]
--- a/features/steps/urgent_work_steps.py
+++ b/features/steps/urgent_work_steps.py
@@ -6,7 +6,7 @@
 import attrs
 from behave import given, then, when
 
-from gapdrum.agent.room_notes import RoomNotes
+from gapdrum.agent.reservation_log import ReservationLog
 from gapdrum.agent.runner_context import RunnerContext
 from gapdrum.core import orders
 from gapdrum.core.configuration import Queue
@@ -61,7 +61,7 @@
 
 
 @when('the entry tells of the queue "{queue}" only')
-def tell_one(context, queue):
+def send_runner(context, queue):
     rows = tuple(row for row in context.rows["entry-1"] if row.queue == queue)
     context.shares.take("entry-1", rows, context.now_ms)
 
@@ -124,7 +124,7 @@
     def until_ms(self, _owner, _kept):
         return 10_000
 
-    hold_until_ms = until_ms
+    lease_deadline_ms = until_ms
 
 
 @given('a runner of {capacity:d} that is asked for previews, and runs of "{queue}" on {room:d}')
@@ -144,11 +144,11 @@
 
 @when('an order of "{queue}" for {room:d} comes')
 def order_comes(context, queue, room):
-    from gapdrum.agent.runner_starts import RunnerStarts
+    from gapdrum.agent.run_launcher import RunLauncher
 
     row = orders.OrderedRun(0, 0, 1, room, 10, 0, 100)
     order = orders.StartOrder("i-1", f"job-{queue}", 1, "{}", 1_000, False, (row,), queue, 0)
-    context.reason = RunnerStarts._refuse(
+    context.reason = RunLauncher._refuse(
         SimpleNamespace(ledger=context.runner.ledger, _context=context.runner),
         "entry-1",
         order,
@@ -255,17 +255,17 @@
 @given('room of a runner is kept from "{queue}" a hundred times in 2 s')
 def keep_often(context, queue):
     context.lines = Lines()
-    context.notes = RoomNotes(context.lines)
+    context.notes = ReservationLog(context.lines)
     ledger = RunnerLedger("i-1", UPSTREAM)
     for count in range(100):
         context.now_ms = 20 * count
         context.notes.note(ledger, (orders.KeptRoom(queue, 500),), context.now_ms)
-        context.notes.note_ended(context.now_ms)
+        context.notes.log_releases(context.now_ms)
 
 
 @when("{passed_ms:d} ms pass without it")
 def pass_without(context, passed_ms):
-    context.notes.note_ended(context.now_ms + passed_ms)
+    context.notes.log_releases(context.now_ms + passed_ms)
 
 
 @then('one line "{event}" is written')
--- a/features/steps/zone_drain_steps.py
+++ b/features/steps/zone_drain_steps.py
@@ -16,7 +16,7 @@
 from gapdrum.agent.entry_links import EntryLink
 from gapdrum.agent.entry_orders import EntryOrders
 from gapdrum.agent.grants import Grants
-from gapdrum.agent.reports import Reports
+from gapdrum.agent.notifier import EntryNotifier
 from gapdrum.agent.runner_registry import RunnerRegistry
 from gapdrum.agent.table_standby import TableStandby
 from gapdrum.core import orders
@@ -204,24 +204,24 @@
     context.links.append(link)
     context.link = link
     context.watch = ZoneWatch(log)
-    keepers = {}
-    reports = Reports(context.links, keepers, context.timers)
+    controllers = {}
+    reports = EntryNotifier(context.links, controllers, context.timers)
     boot = SimpleNamespace(run_lease_ms=1_000, runner=None, machine_list=None, zone=zone)
     registry = RunnerRegistry(
-        boot, keepers, context.grants, reports, context.timers, log, context.watch
+        boot, controllers, context.grants, reports, context.timers, log, context.watch
     )
     registry._background = SimpleNamespace(keep=lambda _work: None)
     context.watch.on_change = registry.take_zones
     context.orders = EntryOrders(
-        context.links, keepers, context.grants, reports, context.timers, log
+        context.links, controllers, context.grants, reports, context.timers, log
     )
     context.orders.zones = context.watch
     context.reports = reports
-    keeper = registry._keeper("i-1", Endpoint("127.0.0.1", 1))
-    keeper.ledger.capacity = Resources(4_000, 100, 0)
-    keeper.ledger.apply_snapshot(RunnerSnapshot(10, (), ()), context.timers.now_ms())
-    context.calls = keeper._context.calls = CountingCalls(answers)
-    context.keeper = keeper
+    controller = registry._ensure_controller("i-1", Endpoint("127.0.0.1", 1))
+    controller.ledger.capacity = Resources(4_000, 100, 0)
+    controller.ledger.apply_snapshot(RunnerSnapshot(10, (), ()), context.timers.now_ms())
+    context.calls = controller._context.calls = CountingCalls(answers)
+    context.controller = controller
     context.attempt = 0
 
 
@@ -304,14 +304,14 @@
 
 @then("the task is still held, and its lease is renewed")
 def still_held(context):
-    assert len(context.keeper.ledger.runs) == 1
-    assert context.keeper._context.lease_left_ms(context.timers.now_ms()) > 0
+    assert len(context.controller.ledger.runs) == 1
+    assert context.controller._context.lease_left_ms(context.timers.now_ms()) > 0
 
 
 @then("the start was called once, and its room is held until it can't take effect any more")
 def called_once(context):
     assert context.calls.starts == 1, context.calls.starts
-    ledger = context.keeper.ledger
+    ledger = context.controller.ledger
     (run,) = ledger.runs.values()
     assert ledger.used == run.room
     ledger.apply_snapshot(RunnerSnapshot(run.start_expires_ms + 1, (), ()), context.timers.now_ms())
--- a/src/gapdrum/agent/entry_directory.py
+++ b/src/gapdrum/agent/entry_directory.py
@@ -56,7 +56,7 @@
     async def _step(self) -> None:
         if self._after is None:
             page = await self._rows.read(ADDRESS_TABLE, UNPARTITIONED, READ_TIMEOUT_MS)
-            self._links.list_only({row.at.key for row in page.rows})
+            self._links.retain_entries({row.at.key for row in page.rows})
             self._take(page.rows)
             self._after = page.version
             return
@@ -69,7 +69,7 @@
     def _take(self, rows: tuple[Row, ...]) -> None:
         for row in rows:
             if row.value is None:
-                self._links.unlist(row.at.key)
+                self._links.unregister_entry(row.at.key)
                 continue
             try:
                 address = load_record(row.value, EntryAddress)
@@ -78,5 +78,5 @@
                     "row_unreadable", place=f"{ADDRESS_TABLE}//{row.at.key}", reason=error.message
                 )
                 continue
-            self._links.list_entry(row.at.key, address)
-        self._links.arrange()
+            self._links.register_entry(row.at.key, address)
+        self._links.update_links()
--- a/src/gapdrum/agent/entry_links.py
+++ b/src/gapdrum/agent/entry_links.py
@@ -50,7 +50,7 @@
         self.orders = 0
         self.demand: dict[str, orders.UpstreamDemand] = {}  # where its jobs wait for room
         self.short_ms = 0  # when it last was short of room
-        self.told_room: dict[str, orders.RoomReport] = {}  # the last one of each runner
+        self.sent_room: dict[str, orders.RoomReport] = {}  # the last one of each runner
         self.follows_table = False  # whether it told so last
         self.heard_ms = 0
         self.lost_ms = 0  # since when there has been no stream
@@ -99,7 +99,7 @@
         self.held_owners: Callable[[], Iterable[HeldOwner]] = tuple
         self.on_joined: Callable[[EntryLink], None] = lambda _link: None
         self.on_renamed: Callable[[str, str], None] = lambda _former, _owner: None
-        self.on_away: Callable[[str], None] = lambda _owner: None
+        self.on_owner_lost: Callable[[str], None] = lambda _owner: None
         self.on_message: Callable[[EntryLink, object], None] = lambda _link, _message: None
 
     def __iter__(self):
@@ -130,7 +130,7 @@
 
     # Which entries there are.
 
-    def list_entry(self, entry: str, address: EntryAddress) -> None:
+    def register_entry(self, entry: str, address: EntryAddress) -> None:
         """Take the address of an entry."""
         self._name_seed(entry, address)
         known = self._listed.get(entry)
@@ -143,13 +143,13 @@
         if known is None:
             self._log.write("entry_found", entry=entry, host=address.host)
 
-    def list_only(self, entries: Iterable[str]) -> None:
+    def retain_entries(self, entries: Iterable[str]) -> None:
         """Note that no other entries have an address."""
         for entry in set(self._links) | set(self._listed):
             if entry not in entries:
-                self.unlist(entry)
+                self.unregister_entry(entry)
 
-    def unlist(self, entry: str) -> None:
+    def unregister_entry(self, entry: str) -> None:
         """Note that an entry's row is gone: it ended, or can't reach the store but still serves."""
         self._listed.pop(entry, None)
         link = self._links.get(entry)
@@ -179,7 +179,7 @@
 
     # Which of them this agent serves.
 
-    def arrange(self) -> None:
+    def update_links(self) -> None:
         """Connect to the entries that should be served, and leave others after a while."""
         now_ms = self._timers.now_ms()
         held = tuple(self.held_owners())
@@ -294,12 +294,12 @@
         link.owner = ""
         link.follows_table = False
         link.demand = {}
-        link.told_room.clear()
+        link.sent_room.clear()
 
     def _check_away(self, owner: str) -> None:
         # Its stream may have been replaced, and have failed again just now.
         if self._is_away(owner, self._timers.now_ms()):
-            self.on_away(owner)
+            self.on_owner_lost(owner)
 
     async def _serve(self, link: EntryLink) -> None:
         address = link.address
--- a/src/gapdrum/agent/entry_orders.py
+++ b/src/gapdrum/agent/entry_orders.py
@@ -6,8 +6,8 @@
 
 from gapdrum.agent.entry_links import EntryLink, EntryLinks
 from gapdrum.agent.grants import Grants
-from gapdrum.agent.reports import Reports
-from gapdrum.agent.runner_keeper import RunnerKeeper
+from gapdrum.agent.notifier import EntryNotifier
+from gapdrum.agent.runner_controller import RunnerController
 from gapdrum.core import orders
 from gapdrum.core.models import RunKey, TaskName
 from gapdrum.core.room_shares import RoomShares
@@ -27,17 +27,17 @@
     def __init__(
         self,
         links: EntryLinks,
-        keepers: Mapping[str, RunnerKeeper],
+        controllers: Mapping[str, RunnerController],
         grants: Grants,
-        reports: Reports,
+        notifier: EntryNotifier,
         timers: Timers,
         log: EventLog,
         shares: RoomShares | None = None,
     ) -> None:
         self._links = links
-        self._keepers = keepers
+        self._keepers = controllers
         self._grants = grants
-        self._reports = reports
+        self._reports = notifier
         self._timers = timers
         self._log = log
         self.shares = shares or RoomShares()
@@ -60,9 +60,9 @@
         if link.demand:
             link.short_ms = self._timers.now_ms()
         link.demand = {row.upstream: row for row in demand.upstreams}
-        for keeper in self._keepers.values():
-            if keeper.ledger.upstream not in link.demand:
-                keeper.offers.decline(link.owner)
+        for controller in self._keepers.values():
+            if controller.ledger.upstream not in link.demand:
+                controller.offers.decline(link.owner)
 
     def _take_queue_demands(self, link: EntryLink, told: orders.QueueDemands) -> None:
         self.shares.take(link.entry, told.queues, self._timers.now_ms())
@@ -73,21 +73,21 @@
     def _take_order(self, link: EntryLink, order: orders.StartOrder) -> None:
         link.orders += len(order.runs)
         self._grants.note(link.owner, order.clock_ms, order.kept)
-        keeper = self._keepers.get(order.runner_id)
+        controller = self._keepers.get(order.runner_id)
         if self._epochs.get(order.job_id, 0) > order.epoch:
             refused = self._refuse_all(order, orders.JOB_SUPERSEDED)
-        elif keeper is None:
+        elif controller is None:
             refused = self._refuse_all(order, orders.RUNNER_GONE)
         else:
-            refused = keeper.starts.order(link.owner, order, self._timers.now_ms())
-            self._reports.room_changed(order.runner_id)
-            self._reports.offer_on(keeper, link)
+            refused = controller.starts.order(link.owner, order, self._timers.now_ms())
+            self._reports.mark_room_changed(order.runner_id)
+            self._reports.reoffer_room(controller, link)
         if refused:
             link.send(orders.RunEvents(order.runner_id, tuple(refused)))
             self._log_refusals(refused)
             link.short_ms = self._timers.now_ms()
-            if keeper is not None:
-                self._reports.tell_room_again(keeper, link)
+            if controller is not None:
+                self._reports.resend_room(controller, link)
 
     @staticmethod
     def _refuse_all(order: orders.StartOrder, reason: str) -> list[orders.RunEvent]:
@@ -107,16 +107,16 @@
             )
 
     def _take_stop(self, _link: EntryLink, message: orders.StopOrder) -> None:
-        keeper = self._keepers.get(message.runner_id)
-        if keeper is None:
+        controller = self._keepers.get(message.runner_id)
+        if controller is None:
             return
         for row in message.runs:
-            keeper.starts.stop(RunKey(TaskName.parse(row.task), row.attempt))
+            controller.starts.stop(RunKey(TaskName.parse(row.task), row.attempt))
 
     def _take_stored(self, _link: EntryLink, message: orders.EndsStored) -> None:
-        keeper = self._keepers.get(message.runner_id)
-        if keeper is not None:
-            keeper.ledger.mark_ends_stored(message.numbers, message.superseded)
+        controller = self._keepers.get(message.runner_id)
+        if controller is not None:
+            controller.ledger.mark_ends_stored(message.numbers, message.superseded)
 
     def _take_claims(self, link: EntryLink, message: orders.JobsClaimed) -> None:
         """Refuse lower epochs of the jobs from now on, and tell what is held of them."""
@@ -127,14 +127,16 @@
             self._epochs.popitem(last=False)
         names = frozenset(row.job_id for row in message.jobs)
         epochs = {row.job_id: row.epoch for row in message.jobs}
-        for keeper in self._keepers.values():
-            self._tell_former_owners(keeper, epochs, link.owner)
-            if keeper.ledger.polled:
-                held = keeper.ledger.held_runs(names)
-                link.send(orders.Holdings(keeper.runner_id, tuple(names), held))
-
-    def _tell_former_owners(self, keeper: RunnerKeeper, epochs: dict[str, int], owner: str) -> None:
-        for run in keeper.ledger.runs.values():
+        for controller in self._keepers.values():
+            self._tell_former_owners(controller, epochs, link.owner)
+            if controller.ledger.polled:
+                held = controller.ledger.held_runs(names)
+                link.send(orders.Holdings(controller.runner_id, tuple(names), held))
+
+    def _tell_former_owners(
+        self, controller: RunnerController, epochs: dict[str, int], owner: str
+    ) -> None:
+        for run in controller.ledger.runs.values():
             job_id = run.key.task.job_id
             if job_id in epochs and run.owner not in ("", owner):
                 former = self._links.of_owner(run.owner)
@@ -142,22 +144,24 @@
                     former.send(orders.JobLost(job_id, epochs[job_id]))
 
     def _take_adoption(self, link: EntryLink, message: orders.AdoptRuns) -> None:
-        keeper = self._keepers.get(message.runner_id)
-        if keeper is None:
+        controller = self._keepers.get(message.runner_id)
+        if controller is None:
             return
         missed = []
         for row in message.runs:
             key = RunKey(TaskName.parse(row.task), row.attempt)
             if row.epoch < self._epochs.get(key.task.job_id, 0):
                 continue
-            event = keeper.ledger.event_for_adopter(key, row.submission)
+            event = controller.ledger.event_for_adopter(key, row.submission)
             if event is None:
-                keeper.ledger.adopt(key, link.owner, row.epoch, row.kept, row.room, row.submission)
+                controller.ledger.adopt(
+                    key, link.owner, row.epoch, row.kept, row.room, row.submission
+                )
             else:
                 missed.append(event)
         if missed:
             link.send(orders.RunEvents(message.runner_id, tuple(missed)))
-        self._reports.room_changed(message.runner_id)
+        self._reports.mark_room_changed(message.runner_id)
 
     def _end_former_lives(self, link: EntryLink) -> None:
         """Stop what runs for callers that waited at earlier names of an entry, unless claimed."""
@@ -165,24 +169,24 @@
             return
         former = {
             run.owner
-            for keeper in self._keepers.values()
-            for run in keeper.ledger.runs.values()
+            for controller in self._keepers.values()
+            for run in controller.ledger.runs.values()
             if run.owner.startswith(f"{link.entry}/") and run.owner != link.owner
         }
         for owner in former:
-            self.stop_unwaited(owner)
+            self.stop_nondurable_runs(owner)
 
-    def await_claims(self, link: EntryLink) -> None:
+    def require_claims(self, link: EntryLink) -> None:
         """Let runs of an entry that has joined anew count as its own once it has claimed them.
 
         A stop that was lost with the former stream would not end a run that the echoes on the new
         one keep up. A process that has lost its lease joins under a new name and claims what
         runs under its former one; a process that has begun anew claims nothing.
         """
-        for keeper in self._keepers.values():
-            for run in keeper.ledger.runs.values():
+        for controller in self._keepers.values():
+            for run in controller.ledger.runs.values():
                 if run.owner == link.owner:
-                    self._grants.end_words(run)
+                    self._grants.require_claim(run)
         self._timers.call_after(RESTART_ALLOWANCE_MS, partial(self._end_former_lives, link))
 
     def rename_owner(self, former: str, owner: str) -> None:
@@ -194,15 +198,15 @@
         last_echo_ms = self._grants.last_echo_ms(former, kept=False)
         if last_echo_ms is not None:
             self._grants.note(owner, last_echo_ms, lease_held=False)
-        for keeper in self._keepers.values():
-            for run in keeper.ledger.runs.values():
+        for controller in self._keepers.values():
+            for run in controller.ledger.runs.values():
                 if run.owner == former and not run.kept:
                     run.owner = owner
 
-    def stop_unwaited(self, owner: str) -> None:
+    def stop_nondurable_runs(self, owner: str) -> None:
         """Stop what runs for callers that waited at a life of an entry that is gone."""
-        for keeper in self._keepers.values():
-            for run in list(keeper.ledger.runs.values()):
+        for controller in self._keepers.values():
+            for run in list(controller.ledger.runs.values()):
                 if run.owner == owner and not run.kept:
                     self._log.write(
                         "run_stopped_for_owner",
@@ -211,7 +215,7 @@
                         attempt=run.key.attempt,
                         owner=owner,
                     )
-                    keeper.starts.stop(run.key)
+                    controller.starts.stop(run.key)
 
     _HANDLERS: dict[type, Callable] = {
         orders.BeatEcho: _take_echo,
--- a/src/gapdrum/agent/grants.py
+++ b/src/gapdrum/agent/grants.py
@@ -39,7 +39,7 @@
         """Return the last clock that an owner has echoed, None if it never did."""
         return self._echoed.get((owner, kept))
 
-    def hold_until_ms(self, owner: str, kept: bool) -> int:
+    def lease_deadline_ms(self, owner: str, kept: bool) -> int:
         """Return when the lease of what runs for an owner must have ended at the latest."""
         return self.until_ms(owner, kept) + STOP_ALLOWANCE_MS
 
@@ -59,7 +59,7 @@
             else 0
         )
 
-    def end_words(self, run: Run) -> None:
+    def require_claim(self, run: Run) -> None:
         """Let no later word of a run's owner count for it, until the owner claims it anew."""
         if run.claimed:
             run.last_echo_ms = self.last_echo_ms(run.owner, run.kept)
--- a/src/gapdrum/agent/lease_bound.py
+++ b/src/gapdrum/agent/lease_bound.py
@@ -21,13 +21,13 @@
         """Return when the lease has ended at the latest, on our clock."""
         return max([self._sent_ms, *self._under_way.values()])
 
-    def propose(self, ends_ms: int) -> int:
+    def begin_renewal(self, ends_ms: int) -> int:
         """Note a call that renews until a time; return its number."""
         self._calls += 1
         self._under_way[self._calls] = ends_ms
         return self._calls
 
-    def settle(self, call: int, sent: bool) -> None:
+    def end_renewal(self, call: int, sent: bool) -> None:
         """Note whether a call was sent, answered or not."""
         ends_ms = self._under_way.pop(call)
         if sent:
--- a/src/gapdrum/agent/reports.py
+++ b/src/gapdrum/agent/notifier.py
@@ -4,8 +4,8 @@
 from collections.abc import Mapping
 
 from gapdrum.agent.entry_links import EntryLink, EntryLinks
-from gapdrum.agent.room_notes import RoomNotes
-from gapdrum.agent.runner_keeper import RunnerKeeper
+from gapdrum.agent.reservation_log import ReservationLog
+from gapdrum.agent.runner_controller import RunnerController
 from gapdrum.core import orders
 from gapdrum.core.models import Resources
 from gapdrum.core.runner_ledger import Run
@@ -28,59 +28,61 @@
 FREES_ROOM = (orders.ENDED, orders.NOT_STARTED, orders.LOST)
 
 
-class Reports:
+class EntryNotifier:
     """Tells owners of their runs at once, and all entries of the room soon."""
 
     def __init__(
         self,
         links: EntryLinks,
-        keepers: Mapping[str, RunnerKeeper],
+        controllers: Mapping[str, RunnerController],
         timers: Timers,
-        notes: RoomNotes | None = None,
+        notes: ReservationLog | None = None,
     ) -> None:
         self._links = links
-        self._keepers = keepers
+        self._keepers = controllers
         self._timers = timers
         self._notes = notes
         # Runners whose room has changed, for entries that are short of room and for all others.
         self._untold_scarce: set[str] = set()
         self._untold: set[str] = set()
-        self._scarce_timer = Delayed(timers, SCARCE_INTERVAL_MS, self.send_room_to_short)
+        self._scarce_timer = Delayed(timers, SCARCE_INTERVAL_MS, self.send_room_to_waiting)
         self._relaxed_timer = Delayed(timers, RELAXED_INTERVAL_MS, self.send_room)
         # What all entries were told last of each runner, so that only changes are told again.
         self._told: dict[str, orders.RunnerReport] = {}
 
-    def report(self, keeper: RunnerKeeper, events: list[tuple[Run, orders.RunEvent]]) -> None:
+    def report(
+        self, controller: RunnerController, events: list[tuple[Run, orders.RunEvent]]
+    ) -> None:
         """Tell owners what happened to their runs, and all entries of the room soon."""
         by_owner: dict[str, list[orders.RunEvent]] = {}
         for run, event in events:
             by_owner.setdefault(run.owner, []).append(event)
         owners = [link for link in map(self._links.of_owner, by_owner) if link is not None]
         for link in owners:
-            link.send(orders.RunEvents(keeper.runner_id, tuple(by_owner[link.owner])))
+            link.send(orders.RunEvents(controller.runner_id, tuple(by_owner[link.owner])))
         if any(event.kind in FREES_ROOM for _, event in events):
-            self._tell_freed(keeper, owners)
-        self.room_changed(keeper.runner_id)
+            self._tell_freed(controller, owners)
+        self.mark_room_changed(controller.runner_id)
 
-    def _tell_freed(self, keeper: RunnerKeeper, owners: list[EntryLink]) -> None:
+    def _tell_freed(self, controller: RunnerController, owners: list[EntryLink]) -> None:
         """Tell of freed room at once: who it is kept for, or else whose runs have ended."""
-        chosen = self._offer(keeper)
+        chosen = self._offer(controller)
         for link in owners if chosen is None else [chosen]:
-            self._tell_room(keeper, link)
+            self._tell_room(controller, link)
 
-    def _offer(self, keeper: RunnerKeeper) -> EntryLink | None:
+    def _offer(self, controller: RunnerController) -> EntryLink | None:
         """Choose an entry that has use for the free room, and keep it for that one; or None.
 
         It is one of those with the most urgent work, by chance and by how much waits there. If
         all heard of the same room, most of their orders would be refused, and small entries,
         which answer later, would get none. Nothing is kept if work waits at one entry only.
         """
-        upstream = keeper.ledger.upstream
-        room = keeper.free_for(NOBODY)
+        upstream = controller.ledger.upstream
+        room = controller.free_for(NOBODY)
         if room.cpu_milli <= 0 or room.memory_mb < 0:
             return None
         waiting = [link for link in self._links if upstream in link.demand]
-        kept = keeper.kept_cpu_milli()
+        kept = controller.kept_cpu_milli()
         fitting = [
             link
             for link in waiting
@@ -95,19 +97,19 @@
         weights = [link.demand[upstream].jobs or 1 for link in most_urgent]
         chosen = random.choices(most_urgent, weights)[0]
         if len(waiting) > 1:
-            keeper.offers.make(chosen.owner, room, self._timers.now_ms())
+            controller.offers.make(chosen.owner, room, self._timers.now_ms())
         return chosen
 
-    def offer_on(self, keeper: RunnerKeeper, link: EntryLink) -> None:
+    def reoffer_room(self, controller: RunnerController, link: EntryLink) -> None:
         """Offer what an entry has left of the room that was kept for it to the next one."""
-        if keeper.offers.decline(link.owner):
-            chosen = self._offer(keeper)
+        if controller.offers.decline(link.owner):
+            chosen = self._offer(controller)
             if chosen is not None:
-                self._tell_room(keeper, chosen)
+                self._tell_room(controller, chosen)
 
     @staticmethod
-    def _describe(keeper: RunnerKeeper) -> orders.RunnerReport:
-        ledger = keeper.ledger
+    def _describe(controller: RunnerController) -> orders.RunnerReport:
+        ledger = controller.ledger
         capacity = ledger.capacity or Resources()
         return orders.RunnerReport(
             ledger.runner_id,
@@ -119,10 +121,10 @@
             capacity.accelerators,
         )
 
-    def _count_room(self, keeper: RunnerKeeper, link: EntryLink) -> orders.RoomReport:
+    def _count_room(self, controller: RunnerController, link: EntryLink) -> orders.RoomReport:
         """Return a runner's room as one entry is told it."""
-        ledger = keeper.ledger
-        free = keeper.free_for(link.owner)
+        ledger = controller.ledger
+        free = controller.free_for(link.owner)
         now_ms = self._timers.now_ms()
         return orders.RoomReport(
             ledger.runner_id,
@@ -132,112 +134,114 @@
             link.orders,
             ledger.speed.slowness_permille(now_ms),
             ledger.speed.count(now_ms),
-            self._kept_rows(keeper, free),
+            self._kept_rows(controller, free),
         )
 
-    def _kept_rows(self, keeper: RunnerKeeper, free: Resources) -> tuple[orders.KeptRoom, ...]:
+    def _kept_rows(
+        self, controller: RunnerController, free: Resources
+    ) -> tuple[orders.KeptRoom, ...]:
         """Return what is kept from queues, while the runner is nearly full."""
-        if keeper.ledger.capacity is None or free.cpu_milli <= 0:
+        if controller.ledger.capacity is None or free.cpu_milli <= 0:
             return ()
-        ample = free.cpu_milli - AMPLE_SHARE * keeper.ledger.capacity.cpu_milli
+        ample = free.cpu_milli - AMPLE_SHARE * controller.ledger.capacity.cpu_milli
         rows = tuple(
             orders.KeptRoom(queue, cpu_milli)
-            for queue, cpu_milli in keeper.kept_cpu_milli().items()
+            for queue, cpu_milli in controller.kept_cpu_milli().items()
             if cpu_milli > ample
         )
         if self._notes is not None:
-            self._notes.note(keeper.ledger, rows, self._timers.now_ms())
+            self._notes.note(controller.ledger, rows, self._timers.now_ms())
         return rows
 
-    def _tell_room(self, keeper: RunnerKeeper, link: EntryLink) -> None:
+    def _tell_room(self, controller: RunnerController, link: EntryLink) -> None:
         """Tell one entry a runner's room, unless it knows."""
-        report = self._count_room(keeper, link)
-        if link.told_room.get(keeper.runner_id) != report:
-            link.told_room[keeper.runner_id] = report
+        report = self._count_room(controller, link)
+        if link.sent_room.get(controller.runner_id) != report:
+            link.sent_room[controller.runner_id] = report
             link.send(report)
 
-    def tell_one(self, keeper: RunnerKeeper, link: EntryLink) -> None:
+    def send_runner(self, controller: RunnerController, link: EntryLink) -> None:
         """Tell one entry a runner's state and room, whether they have changed or not."""
-        link.send(self._describe(keeper))
-        self.tell_room_again(keeper, link)
+        link.send(self._describe(controller))
+        self.resend_room(controller, link)
 
-    def tell_room_again(self, keeper: RunnerKeeper, link: EntryLink) -> None:
+    def resend_room(self, controller: RunnerController, link: EntryLink) -> None:
         """Tell one entry a runner's room, whether it has changed or not."""
-        link.told_room.pop(keeper.runner_id, None)
-        self._tell_room(keeper, link)
+        link.sent_room.pop(controller.runner_id, None)
+        self._tell_room(controller, link)
 
-    def send_room_to_short(self) -> None:
+    def send_room_to_waiting(self) -> None:
         """Tell entries that are short of room what has changed, and all of new states."""
         changed = self._untold_scarce
         self._untold_scarce = set()
-        for keeper in self._present(changed):
-            self._send_changes(keeper)
+        for controller in self._present(changed):
+            self._send_changes(controller)
 
     def send_room(self) -> None:
         """Tell all entries of the states and room that have changed."""
         changed = self._untold
         self._untold = set()
-        for keeper in self._present(changed):
-            self._send_state(keeper)
+        for controller in self._present(changed):
+            self._send_state(controller)
             for link in self._links:
-                self._tell_room(keeper, link)
+                self._tell_room(controller, link)
 
-    def _present(self, runner_ids: set[str]) -> list[RunnerKeeper]:
+    def _present(self, runner_ids: set[str]) -> list[RunnerController]:
         return [self._keepers[one] for one in runner_ids if one in self._keepers]
 
-    def _send_changes(self, keeper: RunnerKeeper) -> None:
-        self._offer(keeper)
-        self._send_state(keeper)
-        upstream = keeper.ledger.upstream
+    def _send_changes(self, controller: RunnerController) -> None:
+        self._offer(controller)
+        self._send_state(controller)
+        upstream = controller.ledger.upstream
         now_ms = self._timers.now_ms()
         for link in self._links:
             if upstream in link.demand or now_ms - link.short_ms < SCARCE_MS:
-                self._tell_room(keeper, link)
-        if keeper.offers.any(now_ms):
-            self.room_changed(keeper.runner_id)  # what is not used is told to all later
+                self._tell_room(controller, link)
+        if controller.offers.any(now_ms):
+            self.mark_room_changed(controller.runner_id)  # what is not used is told to all later
 
-    def _send_state(self, keeper: RunnerKeeper) -> None:
+    def _send_state(self, controller: RunnerController) -> None:
         """Tell all entries what a runner is if that has changed, with its room."""
-        description = self._describe(keeper)
-        if self._told.get(keeper.runner_id) == description:
+        description = self._describe(controller)
+        if self._told.get(controller.runner_id) == description:
             return
-        self._told[keeper.runner_id] = description
+        self._told[controller.runner_id] = description
         for link in self._links:
             link.send(description)
-            self._tell_room(keeper, link)
-        if keeper.ledger.gone:
-            self._forget(keeper.runner_id)
+            self._tell_room(controller, link)
+        if controller.ledger.gone:
+            self._forget(controller.runner_id)
 
     def _forget(self, runner_id: str) -> None:
         del self._told[runner_id]
         for link in self._links:
-            link.told_room.pop(runner_id, None)
+            link.sent_room.pop(runner_id, None)
 
-    def room_changed(self, runner_id: str) -> None:
+    def mark_room_changed(self, runner_id: str) -> None:
         """Note that all entries are to hear of a runner's room."""
         self._untold_scarce.add(runner_id)
         self._untold.add(runner_id)
         self._scarce_timer.ask()
         self._relaxed_timer.ask()
 
-    def tell_everything(self, link: EntryLink) -> None:
+    def send_full_state(self, link: EntryLink) -> None:
         """Tell an entry that has just joined what is held here."""
-        for keeper in self._keepers.values():
-            self._tell_held(keeper, link)
+        for controller in self._keepers.values():
+            self._tell_held(controller, link)
 
-    def tell_holdings(self, keeper: RunnerKeeper) -> None:
+    def broadcast_holdings(self, controller: RunnerController) -> None:
         """Tell all entries what a runner holds, before any of them may order work there."""
         for link in self._links:
-            self._tell_held(keeper, link)
+            self._tell_held(controller, link)
 
-    def _tell_held(self, keeper: RunnerKeeper, link: EntryLink) -> None:
-        self.tell_one(keeper, link)
-        if keeper.ledger.polled:
-            ended = keeper.ledger.recent_ends_of(link.entry, self._timers.now_ms())
-            rows = (*keeper.ledger.held_runs(), *ended)
-            link.send(orders.Holdings(keeper.runner_id, (), rows))
+    def _tell_held(self, controller: RunnerController, link: EntryLink) -> None:
+        self.send_runner(controller, link)
+        if controller.ledger.polled:
+            ended = controller.ledger.recent_ends_of(link.entry, self._timers.now_ms())
+            rows = (*controller.ledger.held_runs(), *ended)
+            link.send(orders.Holdings(controller.runner_id, (), rows))
 
-    def tell_orphans(self) -> None:
+    def resend_unstored_ends(self) -> None:
         """Tell some entries of ends that nobody has stored for long.
 
         Their owners know of them, if they live; any other entry finds out what became of the job
@@ -246,14 +250,14 @@
         links = list(self._links)
         told = random.sample(links, min(len(links), ORPHAN_ENTRIES))
         limit_ms = self._timers.now_ms() - ORPHAN_AFTER_MS
-        for keeper in self._keepers.values():
+        for controller in self._keepers.values():
             rows = tuple(
                 end.to_event(number)
-                for number, end in keeper.ledger.ends.items()
+                for number, end in controller.ledger.ends.items()
                 if end.noted_ms < limit_ms and not end.stored and not end.superseded
             )
             for link in told if rows else ():
-                link.send(orders.RunEvents(keeper.runner_id, rows))
+                link.send(orders.RunEvents(controller.runner_id, rows))
 
 
 def _fits(demand: orders.UpstreamDemand, room_cpu_milli: int) -> bool:
--- a/src/gapdrum/agent/program.py
+++ b/src/gapdrum/agent/program.py
@@ -10,9 +10,9 @@
 from gapdrum.agent.entry_links import EntryLink, EntryLinks
 from gapdrum.agent.entry_orders import EntryOrders
 from gapdrum.agent.grants import Grants
-from gapdrum.agent.reports import Reports
-from gapdrum.agent.room_notes import BOUND_AGAIN_MS, RoomNotes
-from gapdrum.agent.runner_keeper import RunnerKeeper
+from gapdrum.agent.notifier import EntryNotifier
+from gapdrum.agent.reservation_log import BOUND_AGAIN_MS, ReservationLog
+from gapdrum.agent.runner_controller import RunnerController
 from gapdrum.agent.runner_registry import RunnerRegistry
 from gapdrum.agent.table_standby import TableStandby
 from gapdrum.background import Background
@@ -47,21 +47,21 @@
         self.sent: Counter[str] = Counter()
         self.received: Counter[str] = Counter()
         self.grants = Grants(RunBounds(boot.resubmit_ms))
-        self.keepers: dict[str, RunnerKeeper] = {}
+        self.controllers: dict[str, RunnerController] = {}
         self.links = EntryLinks(
             self._greet, timers, log, self.sent, self.received, boot.instance, boot.zone
         )
         self.directory = EntryDirectory(RowStore(boot.store, log), self.links, log, _seeds(boot))
-        self.room_notes = RoomNotes(log)
-        self.reports = Reports(self.links, self.keepers, timers, self.room_notes)
+        self.reservation_log = ReservationLog(log)
+        self.notifier = EntryNotifier(self.links, self.controllers, timers, self.reservation_log)
         self.shares = RoomShares()
         self.orders = EntryOrders(
-            self.links, self.keepers, self.grants, self.reports, timers, log, self.shares
+            self.links, self.controllers, self.grants, self.notifier, timers, log, self.shares
         )
         self.links.held_owners = self._held_owners
         self.links.on_joined = self._welcome
         self.links.on_renamed = self.orders.rename_owner
-        self.links.on_away = self.orders.stop_unwaited
+        self.links.on_owner_lost = self.orders.stop_nondurable_runs
         self.links.on_message = self.orders.take
         self.operators = OperatorFeed(RowStore(boot.store, log), timers, log)
         self.zones = ZoneWatch(log)
@@ -72,9 +72,9 @@
         self.links.drained_zones = lambda: self.zones.drains.zones
         self.runners = RunnerRegistry(
             boot,
-            self.keepers,
+            self.controllers,
             self.grants,
-            self.reports,
+            self.notifier,
             timers,
             log,
             self.zones,
@@ -86,14 +86,14 @@
 
     def _add_gauges(self) -> None:
         gauges = self.log.measures.gauges
-        gauges["runs"] = lambda: sum(len(one.ledger.runs) for one in self.keepers.values())
+        gauges["runs"] = lambda: sum(len(one.ledger.runs) for one in self.controllers.values())
         gauges["free_cpu_milli"] = lambda: sum(
-            one.ledger.free.cpu_milli for one in self.keepers.values()
+            one.ledger.free.cpu_milli for one in self.controllers.values()
         )
         gauges["slowness_permille"] = lambda: max(
             (
                 one.ledger.speed.slowness_permille(self.timers.now_ms())
-                for one in self.keepers.values()
+                for one in self.controllers.values()
             ),
             default=0,
         )
@@ -105,9 +105,9 @@
         """Yield the room that each queue uses here, and what is kept from it."""
         used: Counter[str] = Counter()
         kept: Counter[str] = Counter()
-        for keeper in self.keepers.values():
-            used.update(keeper.ledger.used_cpu_milli)
-            kept.update(keeper.kept_cpu_milli())
+        for controller in self.controllers.values():
+            used.update(controller.ledger.used_cpu_milli)
+            kept.update(controller.kept_cpu_milli())
         yield from (("used_cpu_milli", queue, value) for queue, value in used.items())
         yield from (("kept_cpu_milli", queue, value) for queue, value in kept.items())
 
@@ -117,20 +117,20 @@
 
     def _held_owners(self) -> Iterator[HeldOwner]:
         now_ms = self.timers.now_ms()
-        for keeper in self.keepers.values():
-            yield from keeper.ledger.held_owners(now_ms)
+        for controller in self.controllers.values():
+            yield from controller.ledger.held_owners(now_ms)
 
     def _welcome(self, link: EntryLink) -> None:
         """Tell an entry that has just joined what is held here, and let it claim its runs."""
         if self.zones.drains.known:
             link.send(self.zones.drains_told())
-        self.orders.await_claims(link)
-        self.reports.tell_everything(link)
+        self.orders.require_claims(link)
+        self.notifier.send_full_state(link)
 
     def _take_zones(self) -> None:
         """Start nothing in a drained zone, and tell the entries, which may not hear the store."""
         self.runners.take_zones()
-        self.links.arrange()
+        self.links.update_links()
         told = self.zones.drains_told()
         for link in self.links:
             link.send(told)
@@ -151,14 +151,16 @@
         await open_metrics(self.boot.host, self.log.measures, self.timers)
         self.timers.subscribe(orders.BEAT_INTERVAL_MS, self.links.beat)
         self.timers.subscribe(orders.BEAT_INTERVAL_MS, self.standby.check)
-        self.timers.subscribe(ARRANGE_INTERVAL_MS, self.links.arrange)
+        self.timers.subscribe(ARRANGE_INTERVAL_MS, self.links.update_links)
         self.timers.subscribe(
-            BOUND_AGAIN_MS, lambda: self.room_notes.note_ended(self.timers.now_ms())
+            BOUND_AGAIN_MS, lambda: self.reservation_log.log_releases(self.timers.now_ms())
         )
-        self.timers.subscribe(ORPHAN_INTERVAL_MS, self.reports.tell_orphans)
+        self.timers.subscribe(ORPHAN_INTERVAL_MS, self.notifier.resend_unstored_ends)
         await stopping.wait()
-        self.log.write("stopping", open=len(self.keepers))
-        await asyncio.gather(*(keeper.renew_fully() for keeper in self.keepers.values()))
+        self.log.write("stopping", open=len(self.controllers))
+        await asyncio.gather(
+            *(controller.renew_before_shutdown() for controller in self.controllers.values())
+        )
         self.log.write("stopped", jobs_handed_over=0)
         self.log.flush()
         return 0
--- a/src/gapdrum/agent/room_notes.py
+++ b/src/gapdrum/agent/reservation_log.py
@@ -8,7 +8,7 @@
 BOUND_AGAIN_MS = 2_000
 
 
-class RoomNotes:
+class ReservationLog:
     """Writes a line for each change, however often room is counted."""
 
     def __init__(self, log: EventLog) -> None:
@@ -30,7 +30,7 @@
                 )
             self._last_ms[key] = now_ms
 
-    def note_ended(self, now_ms: int) -> None:
+    def log_releases(self, now_ms: int) -> None:
         """Note what is not kept any more."""
         for (runner_id, queue), last_ms in list(self._last_ms.items()):
             if now_ms - last_ms >= BOUND_AGAIN_MS:
--- a/src/gapdrum/agent/runner_starts.py
+++ b/src/gapdrum/agent/run_launcher.py
@@ -14,15 +14,15 @@
 STOP_TIMEOUT_MS = 150
 STOP_REPEAT_MS = STOP_TIMEOUT_MS
 # An unanswered start holds its room until then, as it may take effect so late.
-START_WINDOW_MS = 700
+START_EXPIRY_MS = 700
 # Pauses before a call to the runner is tried again: a lost answer costs little, and a runner
 # that resets every connection is not flooded with new ones, which are dear there.
-RETRY_FIRST_MS = 10
-RETRY_MOST_MS = 160
+RETRY_MIN_MS = 10
+RETRY_MAX_MS = 160
 IDLE_MS = 60_000  # with no run there is nothing to stop
 
 
-class RunnerStarts:
+class RunLauncher:
     """Calls the runner for each start until it is settled, and for each stop until it ends."""
 
     def __init__(self, context: RunnerContext) -> None:
@@ -58,7 +58,7 @@
             return orders.ORDER_EXPIRED
         if now_ms >= self._context.grants.until_ms(owner, order.kept):
             return orders.ORDER_EXPIRED
-        if self._context.lease_outlasts(owner, order.kept, now_ms):
+        if self._context.lease_exceeds_grant(owner, order.kept, now_ms):
             return orders.ORDER_EXPIRED
         free = self._context.free_for(owner, now_ms)
         if not free.holds(row.room):
@@ -71,9 +71,9 @@
         self, owner: str, order: orders.StartOrder, row: orders.OrderedRun, now_ms: int
     ) -> None:
         # The start also renews the lease of all, so it is bound by the same limits.
-        limit_ms = self._context.grants.hold_until_ms(owner, order.kept) - now_ms
-        left_ms = max(1, min(START_WINDOW_MS, self._context.allowed_lease_ms(now_ms), limit_ms))
-        expires_ms = self._context.lease_until(left_ms)
+        limit_ms = self._context.grants.lease_deadline_ms(owner, order.kept) - now_ms
+        left_ms = max(1, min(START_EXPIRY_MS, self._context.allowed_lease_ms(now_ms), limit_ms))
+        expires_ms = self._context.extend_lease(left_ms)
         run = Run(
             order.key_of(row),
             owner,
@@ -106,8 +106,8 @@
         settled = None
         unanswered = False
         sent = False
-        backoff = Backoff(RETRY_FIRST_MS, RETRY_MOST_MS)
-        call = self._context.bound.propose(lease_ends_ms)
+        backoff = Backoff(RETRY_MIN_MS, RETRY_MAX_MS)
+        call = self._context.bound.begin_renewal(lease_ends_ms)
         while settled is None and self._may_still_start(run):
             try:
                 clock_ms = await self._context.calls.start(
@@ -132,7 +132,7 @@
                 sent = True
                 settled = self._judge_rejection(run, error, unanswered)
         run.calling = False
-        self._context.bound.settle(call, sent)
+        self._context.bound.end_renewal(call, sent)
         if settled is None and not unanswered:
             settled = orders.NOT_STARTED
         self._settle_start(run, settled)
@@ -193,7 +193,7 @@
                 run.stopping_ms = now_ms
                 if not run.kept:
                     # Its caller submits it again, whether the stop takes effect or not.
-                    self._context.grants.end_words(run)
+                    self._context.grants.require_claim(run)
             self._send_stop(key, now_ms)
 
     def next_stop_ms(self, now_ms: int) -> int:
@@ -207,7 +207,7 @@
             return self._stops_sent.get(run.key, 0) + STOP_REPEAT_MS
         return self._context.grants.stop_due_ms(run)
 
-    def stop_what_must(self, now_ms: int) -> None:
+    def stop_overdue_runs(self, now_ms: int) -> None:
         """Stop what runs for owners that are silent, and repeat stops without effect."""
         for run in list(self.ledger.runs.values()):
             if not run.stopping and now_ms >= self._stop_due_ms(run):
--- a/src/gapdrum/agent/runner_context.py
+++ b/src/gapdrum/agent/runner_context.py
@@ -27,7 +27,7 @@
     """One incarnation of a runner: the ledger, the calls, and the lease of what runs there.
 
     ``report`` is called with what happened to runs, and after any change of room.
-    ``lease_until_ms`` is the latest end of a lease that was asked for, on the runner's clock.
+    ``latest_lease_end_ms`` is the latest end of a lease that was asked for, on the runner's clock.
     """
 
     ledger: RunnerLedger
@@ -38,7 +38,7 @@
     log: EventLog
     report: Callable[[list[tuple[Run, RunEvent]]], None]
     fence: int = 0
-    lease_until_ms: int = 0
+    latest_lease_end_ms: int = 0
     offers: RoomOffers = attrs.Factory(RoomOffers)
     bound: LeaseBound = attrs.Factory(LeaseBound)
     schedule: PollSchedule = attrs.Factory(PollSchedule)
@@ -83,7 +83,7 @@
         )
         return free.cpu_milli - room.cpu_milli < kept
 
-    def lease_left_ms(self, now_ms: int) -> int:
+    def renewal_ms(self, now_ms: int) -> int:
         """Return how long what runs may go on: a full lease, less if an owner is silent.
 
         0, or less, while the lease must lapse, while it is not known whose all runs are, once
@@ -108,20 +108,22 @@
         """Return the longest lease that is asked for."""
         return self.grants.bounds.lease_ms(self.run_lease_ms)
 
-    def lease_outlasts(self, owner: str, kept: bool, now_ms: int) -> bool:
+    def lease_exceeds_grant(self, owner: str, kept: bool, now_ms: int) -> bool:
         """Tell whether the lease that is there may last for longer than an owner's word allows.
 
         A run that started now could not be ended in time but by a stop, which may be lost.
         """
-        allowed_ms = self.grants.hold_until_ms(owner, kept) - now_ms
-        return self.lease_until_ms > self.ledger.clock_floor(self.timers.awake_ms()) + allowed_ms
+        allowed_ms = self.grants.lease_deadline_ms(owner, kept) - now_ms
+        return (
+            self.latest_lease_end_ms > self.ledger.clock_floor(self.timers.awake_ms()) + allowed_ms
+        )
 
-    def lease_until(self, left_ms: int) -> int:
+    def extend_lease(self, left_ms: int) -> int:
         """Return until when a lease runs on the runner's clock, 0 for no renewal."""
         if left_ms <= 0:
             return 0
         until_ms = self.ledger.clock_floor(self.timers.awake_ms()) + left_ms
-        self.lease_until_ms = max(self.lease_until_ms, until_ms)
+        self.latest_lease_end_ms = max(self.latest_lease_end_ms, until_ms)
         return until_ms
 
     def set_gone(self, reason: str) -> None:
--- a/src/gapdrum/agent/runner_keeper.py
+++ b/src/gapdrum/agent/runner_controller.py
@@ -4,9 +4,9 @@
 from collections.abc import Callable
 
 from gapdrum.agent.grants import Grants
+from gapdrum.agent.run_launcher import RETRY_MAX_MS, RETRY_MIN_MS, RunLauncher
 from gapdrum.agent.runner_context import RunnerContext
-from gapdrum.agent.runner_looks import RunnerLooks
-from gapdrum.agent.runner_starts import RETRY_FIRST_MS, RETRY_MOST_MS, RunnerStarts
+from gapdrum.agent.runner_poller import RunnerPoller
 from gapdrum.backoff import Backoff
 from gapdrum.core import orders
 from gapdrum.core.endpoints import Endpoint
@@ -39,15 +39,15 @@
 # Storing an end takes about 10 ms; looking again before that shows the same.
 UNSTORED_PAUSE_MS = 10
 
-Report = Callable[["RunnerKeeper", list[tuple[Run, orders.RunEvent]]], None]
-Looked = Callable[["RunnerKeeper"], None]
+Report = Callable[["RunnerController", list[tuple[Run, orders.RunEvent]]], None]
+Looked = Callable[["RunnerController"], None]
 
 
-class RunnerKeeper:
+class RunnerController:
     """The agent's side of one incarnation of a runner.
 
     ``report`` is called with what happened to runs, and after any change of room;
-    ``on_looked`` once, when it is known what the runner holds.
+    ``on_first_poll`` once, when it is known what the runner holds.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         timers: Timers,
         log: EventLog,
         report: Report,
-        on_looked: Looked,
+        on_first_poll: Looked,
         shares: RoomShares | None = None,
     ) -> None:
         self.ledger = RunnerLedger(runner_id)
@@ -74,12 +74,12 @@
             lambda events: report(self, events),
             shares=shares or RoomShares(),
         )
-        self.starts = RunnerStarts(self._context)
+        self.starts = RunLauncher(self._context)
         self._schedule = self._context.schedule
-        self._looks = RunnerLooks(self._context)
+        self._looks = RunnerPoller(self._context)
         self._timers = timers
         self._log = log
-        self._on_looked = on_looked
+        self._on_looked = on_first_poll
         self._sequence = 0
 
     @property
@@ -104,7 +104,7 @@
 
     async def keep(self) -> None:
         """Look and renew until this incarnation is gone."""
-        backoff = Backoff(RETRY_FIRST_MS, RETRY_MOST_MS)
+        backoff = Backoff(RETRY_MIN_MS, RETRY_MAX_MS)
         while not self.ledger.gone:
             try:
                 if await self._step():
@@ -141,7 +141,7 @@
             return True
         now_ms = self._timers.now_ms()
         self._check_rest(now_ms)
-        self.starts.stop_what_must(now_ms)
+        self.starts.stop_overdue_runs(now_ms)
         poll = await self._looks.next(self._wait_ms(now_ms))
         if poll is None:
             self._judge_reachable(UNHEARD)
@@ -176,7 +176,7 @@
         self._note_reachable()
         events = ledger.apply_snapshot(poll, now_ms)
         self._note_cut_short(events, now_ms)
-        if ledger.awaits_lapse() and poll.clock_ms > self._context.lease_until_ms:
+        if ledger.awaits_lapse() and poll.clock_ms > self._context.latest_lease_end_ms:
             ledger.record_lapse()
             self._log.write("lease_let_lapse", runner=self.runner_id, clock_ms=poll.clock_ms)
         if ledger.health.ejected_until_ms and not was_resting:
@@ -235,7 +235,7 @@
         self._schedule.record_contact(self._timers.now_ms())
         self._context.fence = max(1, clock_ms)
         # What an earlier life of this agent may have asked for.
-        self._context.lease_until_ms = clock_ms + self._context.longest_lease_ms
+        self._context.latest_lease_end_ms = clock_ms + self._context.longest_lease_ms
 
     def _take_rejection(self, error: RunnerRejectedError) -> None:
         self._log.write(
@@ -284,7 +284,7 @@
             self._log.write("runner_leaving", runner=self.runner_id, runs=len(self.ledger.runs))
             self._context.report([])
 
-    def take_heartbeat(self, heartbeat: Heartbeat) -> None:
+    def apply_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Take the runner's report about itself, unless a newer one came before."""
         if heartbeat.sequence < self._sequence:
             self._log.write(
@@ -308,7 +308,7 @@
             )
             self._context.report([])
 
-    def take_listed(self, listed: ListedRunner) -> None:
+    def apply_listing(self, listed: ListedRunner) -> None:
         """Take what the platform's list says, unless the runner has told of itself meanwhile."""
         ledger = self.ledger
         if ledger.capacity is not None or ledger.gone:
@@ -325,11 +325,11 @@
             self.ledger.zone_closed = closed
             self._context.report([])
 
-    async def renew_fully(self) -> None:
+    async def renew_before_shutdown(self) -> None:
         """Renew once more before the agent ends, so that its successor finds the runs alive."""
         if self.ledger.gone or not self._context.fence or not self.ledger.polled:
             return
-        left_ms = self._context.lease_left_ms(self._timers.now_ms())
+        left_ms = self._context.renewal_ms(self._timers.now_ms())
         try:
             await self._looks.poll(left_ms, 0)
         except (NoReplyError, NotSentError, RunnerRejectedError, RunnerReplacedError) as error:
--- a/src/gapdrum/agent/runner_looks.py
+++ b/src/gapdrum/agent/runner_poller.py
@@ -11,7 +11,7 @@
 from gapdrum.transport.http_client import NoReplyError, NotSentError, TimedOutError
 
 
-class RunnerLooks:
+class RunnerPoller:
     """The looks under way; each renews the lease and is on a connection of its own.
 
     ::
@@ -82,7 +82,7 @@
         return outcome if self._schedule.is_news(number, outcome.clock_ms) else None
 
     def _begin(self, turn: Poll) -> None:
-        left_ms = self._context.lease_left_ms(turn.began_ms)
+        left_ms = self._context.renewal_ms(turn.began_ms)
         self._tasks[turn.number] = self._background.spawn(self._run(turn, left_ms))
 
     def _give_up(self, number: int, now_ms: int) -> None:
@@ -114,8 +114,8 @@
     async def poll(self, left_ms: int, wait_ms: int) -> RunnerSnapshot:
         """Look once, and renew the lease by so much; raises what the call raises."""
         context = self._context
-        until_ms = context.lease_until(left_ms)
-        call = context.bound.propose(context.timers.awake_ms() + left_ms + LAPSE_SLACK_MS)
+        until_ms = context.extend_lease(left_ms)
+        call = context.bound.begin_renewal(context.timers.awake_ms() + left_ms + LAPSE_SLACK_MS)
         sent = True
         try:
             return await context.calls.poll(
@@ -129,4 +129,4 @@
             sent = False
             raise
         finally:
-            context.bound.settle(call, sent)
+            context.bound.end_renewal(call, sent)
--- a/src/gapdrum/agent/runner_registry.py
+++ b/src/gapdrum/agent/runner_registry.py
@@ -4,8 +4,8 @@
 from collections.abc import Awaitable, Callable
 
 from gapdrum.agent.grants import Grants
-from gapdrum.agent.reports import Reports
-from gapdrum.agent.runner_keeper import RunnerKeeper
+from gapdrum.agent.notifier import EntryNotifier
+from gapdrum.agent.runner_controller import RunnerController
 from gapdrum.background import Background
 from gapdrum.core.endpoints import Endpoint
 from gapdrum.core.room_shares import RoomShares
@@ -34,7 +34,7 @@
 
 
 class RunnerRegistry:
-    """Takes the runners' reports, and keeps a ``RunnerKeeper`` for each incarnation.
+    """Takes the runners' reports, and keeps a ``RunnerController`` for each incarnation.
 
     Whoever listens at an address is asked who it is before a heartbeat of another runner is
     believed: a heartbeat that a cut has delayed may come after its sender's successor has
@@ -44,9 +44,9 @@
     def __init__(
         self,
         boot: Boot,
-        keepers: dict[str, RunnerKeeper],
+        controllers: dict[str, RunnerController],
         grants: Grants,
-        reports: Reports,
+        notifier: EntryNotifier,
         timers: Timers,
         log: EventLog,
         zones: ZoneWatch,
@@ -54,9 +54,9 @@
         shares: RoomShares | None = None,
     ) -> None:
         self._boot = boot
-        self._keepers = keepers
+        self._keepers = controllers
         self._grants = grants
-        self._reports = reports
+        self._reports = notifier
         self._timers = timers
         self._log = log
         self._zones = zones
@@ -75,9 +75,9 @@
         if request.path.startswith(HEARTBEAT_PREFIX):
             return self._take_heartbeat(request)
         if request.path.startswith(DEREGISTER_PREFIX):
-            keeper = self._keepers.get(request.path[len(DEREGISTER_PREFIX) :])
-            if keeper is not None:
-                keeper.set_leaving()
+            controller = self._keepers.get(request.path[len(DEREGISTER_PREFIX) :])
+            if controller is not None:
+                controller.set_leaving()
             return json_response(200, {})
         return json_response(404, {"code": "no_such_path"})
 
@@ -90,17 +90,19 @@
             return json_response(400, {"code": "malformed_heartbeat"})
         present = self._keeper_at(heartbeat.address)
         if runner_id in self._keepers or present is None:
-            self._keeper(runner_id, heartbeat.address).take_heartbeat(heartbeat)
+            self._ensure_controller(runner_id, heartbeat.address).apply_heartbeat(heartbeat)
             return json_response(200, {})
         return self._judge_newcomer(heartbeat, present)
 
-    def _keeper_at(self, address: Endpoint) -> RunnerKeeper | None:
-        for keeper in self._keepers.values():
-            if keeper.address == address and not keeper.ledger.gone:
-                return keeper
+    def _keeper_at(self, address: Endpoint) -> RunnerController | None:
+        for controller in self._keepers.values():
+            if controller.address == address and not controller.ledger.gone:
+                return controller
         return None
 
-    async def _judge_newcomer(self, heartbeat: Heartbeat, present: RunnerKeeper) -> HttpResponse:
+    async def _judge_newcomer(
+        self, heartbeat: Heartbeat, present: RunnerController
+    ) -> HttpResponse:
         """Take the heartbeat of an unknown runner if it is the one that listens there now."""
         try:
             listening = await self._identify(heartbeat.address, IDENTITY_TIMEOUT_MS)
@@ -110,18 +112,20 @@
             return json_response(503, {"code": "runner_not_reached"})
         if listening == heartbeat.runner_id:
             present.set_gone("replaced")
-            self._keeper(heartbeat.runner_id, heartbeat.address).take_heartbeat(heartbeat)
+            self._ensure_controller(heartbeat.runner_id, heartbeat.address).apply_heartbeat(
+                heartbeat
+            )
         else:
             self._log.write(
                 "heartbeat_outdated", runner=heartbeat.runner_id, sequence=heartbeat.sequence
             )
         return json_response(200, {})
 
-    def _keeper(self, runner_id: str, address: Endpoint) -> RunnerKeeper:
-        keeper = self._keepers.get(runner_id)
-        if keeper is not None:
-            return keeper
-        keeper = RunnerKeeper(
+    def _ensure_controller(self, runner_id: str, address: Endpoint) -> RunnerController:
+        controller = self._keepers.get(runner_id)
+        if controller is not None:
+            return controller
+        controller = RunnerController(
             runner_id,
             address,
             self._grants,
@@ -129,26 +133,26 @@
             self._timers,
             self._log,
             self._reports.report,
-            self._reports.tell_holdings,
+            self._reports.broadcast_holdings,
             self._shares,
         )
-        self._keepers[runner_id] = keeper
+        self._keepers[runner_id] = controller
         self.take_zones()
         self._log.write("runner_found", runner=runner_id, address=str(address))
-        self._background.keep(lambda: self._keep_runner(keeper))
-        return keeper
+        self._background.keep(lambda: self._keep_runner(controller))
+        return controller
 
     def take_zones(self) -> None:
         """Close the runners, or open them, as operators drain this zone or restore it."""
         closed = self._zones.drains.is_closed(self._boot.zone)
-        for keeper in self._keepers.values():
-            keeper.set_zone_closed(closed)
+        for controller in self._keepers.values():
+            controller.set_zone_closed(closed)
 
-    async def _keep_runner(self, keeper: RunnerKeeper) -> None:
-        await keeper.keep()
+    async def _keep_runner(self, controller: RunnerController) -> None:
+        await controller.keep()
         self._reports.send_room()
-        if self._keepers.get(keeper.runner_id) is keeper:
-            del self._keepers[keeper.runner_id]
+        if self._keepers.get(controller.runner_id) is controller:
+            del self._keepers[controller.runner_id]
 
     # Asking.
 
@@ -163,25 +167,29 @@
                 self._log.write("runner_not_found", address=str(address), code=error.code)
                 runner_id = ""
             if runner_id and not self._keepers:
-                await self._learn_room(self._keeper(runner_id, address))
+                await self._learn_room(self._ensure_controller(runner_id, address))
                 return
             await asyncio.sleep(IDENTITY_RETRY_MS / MS_PER_S)
 
-    async def _learn_room(self, keeper: RunnerKeeper) -> None:
+    async def _learn_room(self, controller: RunnerController) -> None:
         """Look the runner's room up, as its next heartbeat may be a second or more away."""
         machines = self._boot.machine_list
-        while machines is not None and keeper.ledger.capacity is None and not keeper.ledger.gone:
+        while (
+            machines is not None
+            and controller.ledger.capacity is None
+            and not controller.ledger.gone
+        ):
             try:
-                listed = await find_listed_runner(machines, keeper.runner_id, LIST_TIMEOUT_MS)
+                listed = await find_listed_runner(machines, controller.runner_id, LIST_TIMEOUT_MS)
             except (NotSentError, NoReplyError) as error:
                 self._log.write(
                     "runner_not_listed",
-                    runner=keeper.runner_id,
+                    runner=controller.runner_id,
                     code=error.code,
                     reason=error.message,
                 )
                 listed = None
             if listed is not None:
-                keeper.take_listed(listed)
+                controller.apply_listing(listed)
                 return
             await asyncio.sleep(LIST_RETRY_MS / MS_PER_S)
--- a/tools/load_policies.py
+++ b/tools/load_policies.py
@@ -16,8 +16,8 @@
 import virtual_runner
 from loads import COMPETING_KINDS, KINDS, LONG_KINDS
 
-from gapdrum.agent import reports as agent_reports
-from gapdrum.agent.reports import Reports
+from gapdrum.agent import notifier as agent_notifier
+from gapdrum.agent.notifier import EntryNotifier
 from gapdrum.core import (
     expected_end,
     fleet_speeds,
@@ -123,7 +123,7 @@
 @switch
 def offering_on() -> Patches:
     """Let an entry keep the rest of what was offered to it."""
-    return [mock.patch.object(Reports, "offer_on", lambda *_: None)]
+    return [mock.patch.object(EntryNotifier, "reoffer_room", lambda *_: None)]
 
 
 @switch
@@ -246,8 +246,8 @@
     candidates_8=_set(placement_rules, CANDIDATES=8),
     serve_6=_set(core_subsets, ENTRIES_PER_AGENT=6),
     serve_8=_set(core_subsets, ENTRIES_PER_AGENT=8),
-    reports_10=_set(agent_reports, SCARCE_INTERVAL_MS=10, RELAXED_INTERVAL_MS=25),
-    reports_50=_set(agent_reports, SCARCE_INTERVAL_MS=50, RELAXED_INTERVAL_MS=100),
+    reports_10=_set(agent_notifier, SCARCE_INTERVAL_MS=10, RELAXED_INTERVAL_MS=25),
+    reports_50=_set(agent_notifier, SCARCE_INTERVAL_MS=50, RELAXED_INTERVAL_MS=100),
     priority_60=_set(placement_rules, PRIORITY_WEIGHT=0.6),
     priority_15=_set(placement_rules, PRIORITY_WEIGHT=0.15),
 )
--- a/tools/load_replay.py
+++ b/tools/load_replay.py
@@ -13,12 +13,12 @@
 from load_report import Outcome, Played, Report, summarize
 from loads import Drain, Fault, Load, LoadJob, make_jobs
 from platform_system import RESUBMIT_MS
-from virtual_runner import UPSTREAM, SilentLog, VirtualKeeper, VirtualRunner, VirtualTimers
+from virtual_runner import UPSTREAM, SilentLog, VirtualController, VirtualRunner, VirtualTimers
 
 from gapdrum.agent.entry_links import EntryLink
 from gapdrum.agent.entry_orders import EntryOrders
 from gapdrum.agent.grants import Grants
-from gapdrum.agent.reports import Reports
+from gapdrum.agent.notifier import EntryNotifier
 from gapdrum.codec import kind_of
 from gapdrum.core import orders
 from gapdrum.core.configuration import Queue
@@ -86,27 +86,27 @@
         self._rack = fleet.load.rack_of(number)
         self.grants = Grants(RunBounds(RESUBMIT_MS))
         self.links = VirtualLinks()
-        self.keepers: dict[str, VirtualKeeper] = {}
-        self.reports = Reports(self.links, self.keepers, self.timers)
+        self.controllers: dict[str, VirtualController] = {}
+        self.notifier = EntryNotifier(self.links, self.controllers, self.timers)
         self.orders = EntryOrders(
-            self.links, self.keepers, self.grants, self.reports, self.timers, self.log
+            self.links, self.controllers, self.grants, self.notifier, self.timers, self.log
         )
-        self.keeper = VirtualKeeper(
+        self.controller = VirtualController(
             VirtualRunner(self.timers, speed),
             RunnerLedger(f"runner-{self.name}", UPSTREAM, ("kind", self._rack), capacity),
             self.grants,
             self.log,
-            self.reports.report,
+            self.notifier.report,
             lambda key: fleet.work_of(key, self._rack),
             self.orders.shares,
         )
-        self.keepers[self.keeper.runner_id] = self.keeper
+        self.controllers[self.controller.runner_id] = self.controller
 
     def open(self, entries: list["VirtualEntry"]) -> None:
         """Join the entries that it serves, and begin to look, beat and report."""
-        self.keeper.poll()
+        self.controller.poll()
         self.arrange(entries, frozenset())
-        self.timers.subscribe(LOOK_INTERVAL_MS, self.keeper.poll)
+        self.timers.subscribe(LOOK_INTERVAL_MS, self.controller.poll)
         self.timers.subscribe(orders.BEAT_INTERVAL_MS, self._beat)
 
     def arrange(self, entries: list["VirtualEntry"], drained: frozenset[str]) -> None:
@@ -126,7 +126,7 @@
             if entry.name in chosen and entry.name not in joined:
                 entry.join(self)
                 self.links.append(VirtualLink(self, entry))
-                self.reports.tell_everything(self.links[-1])
+                self.notifier.send_full_state(self.links[-1])
 
     def _beat(self) -> None:
         for link in self.links:
@@ -351,17 +351,17 @@
 
     def free_cores(self) -> float:
         """Return the room of all runners that nothing uses."""
-        ledgers = [agent.keeper.ledger for agent in self.agents.values()]
+        ledgers = [agent.controller.ledger for agent in self.agents.values()]
         free = sum(one.capacity.cpu_milli - one.used.cpu_milli for one in ledgers if not one.gone)
         return free / 1_000
 
     def open_cores(self, queue: str) -> float:
         """Return the free room of all runners that is not kept from a queue."""
-        keepers = [agent.keeper for agent in self.agents.values()]
+        controllers = [agent.controller for agent in self.agents.values()]
         return (
             sum(
                 max(0, one.ledger.free.cpu_milli - one.kept_cpu_milli().get(queue, 0))
-                for one in keepers
+                for one in controllers
             )
             / 1_000
         )
@@ -381,13 +381,15 @@
 
     def _plan_fault(self, fault: Fault) -> None:
         for number in fault.runners:
-            keeper = self.agents[f"agent-{number}"].keeper
+            controller = self.agents[f"agent-{number}"].controller
             at_ms = WARM_UP_MS + fault.at_ms
             if fault.gone:
-                self.timers.call_after(at_ms, keeper.lose)
+                self.timers.call_after(at_ms, controller.lose)
                 continue
-            self.timers.call_after(at_ms, lambda k=keeper: k.runner.set_pace(fault.pace))
-            self.timers.call_after(at_ms + fault.for_ms, lambda k=keeper: k.runner.set_pace(1.0))
+            self.timers.call_after(at_ms, lambda k=controller: k.runner.set_pace(fault.pace))
+            self.timers.call_after(
+                at_ms + fault.for_ms, lambda k=controller: k.runner.set_pace(1.0)
+            )
 
     def _plan_drain(self, drain: Drain) -> None:
         at_ms = WARM_UP_MS + drain.at_ms
@@ -397,7 +399,7 @@
     def _drain(self, zones: frozenset[str]) -> None:
         """Let all processes hear which zones are drained from now on."""
         for agent in self.agents.values():
-            agent.keeper.set_zone_closed(agent.zone in zones)
+            agent.controller.set_zone_closed(agent.zone in zones)
             self.timers.call_after(
                 ARRANGE_MS, lambda agent=agent: agent.arrange(self.entries, zones)
             )
@@ -406,7 +408,7 @@
 
     def _sample(self) -> None:
         at_ms = self.timers.now_ms() - self.begin_ms
-        ledgers = [agent.keeper.ledger for agent in self.agents.values()]
+        ledgers = [agent.controller.ledger for agent in self.agents.values()]
         total = sum(one.capacity.cpu_milli for one in ledgers if not one.gone)
         self.busy_cores[at_ms] = 1 - 1_000 * self.free_cores() / total
 
--- a/tools/planted.py
+++ b/tools/planted.py
@@ -60,7 +60,7 @@
 @mechanism
 def leaving() -> None:
     """Let go on what runs for a caller who has left."""
-    EntryOrders.stop_unwaited = lambda _self, _owner: None
+    EntryOrders.stop_nondurable_runs = lambda _self, _owner: None
     WaitingCallers._leave = lambda _self, _job_id, _ended: None
     Grants.stop_due_ms = lambda _self, _run: FOREVER_MS
 
--- a/tools/virtual_runner.py
+++ b/tools/virtual_runner.py
@@ -7,8 +7,8 @@
 import attrs
 
 from gapdrum.agent.grants import Grants
+from gapdrum.agent.run_launcher import RunLauncher
 from gapdrum.agent.runner_context import RunnerContext
-from gapdrum.agent.runner_starts import RunnerStarts
 from gapdrum.core import orders
 from gapdrum.core.models import Resources, RunEnd, RunKey
 from gapdrum.core.room_shares import RoomShares
@@ -24,7 +24,7 @@
 STOP_MS = 30
 
 
-Report = Callable[["VirtualKeeper", list], None]
+Report = Callable[["VirtualController", list], None]
 
 
 class VirtualTimers:
@@ -156,7 +156,7 @@
         return RunnerSnapshot(self.timers.now_ms(), tuple(rows), tuple(self.ended))
 
 
-class VirtualStarts(RunnerStarts):
+class VirtualStarts(RunLauncher):
     """The real judgement of orders, with a virtual runner behind it."""
 
     def __init__(self, context: RunnerContext, runner: VirtualRunner, work_of: Callable) -> None:
@@ -181,7 +181,7 @@
         self._context.timers.call_after(CALL_MS, lambda: self._runner.stop(key))
 
 
-class VirtualKeeper:
+class VirtualController:
     """The agent's side of one virtual runner.
 
     ``report`` is called with the keeper and what happened to runs; ``work_of`` tells how long a
@@ -231,7 +231,7 @@
         if self.ledger.gone:
             return
         now_ms = self._timers.now_ms()
-        self.starts.stop_what_must(now_ms)
+        self.starts.stop_overdue_runs(now_ms)
         was_resting = bool(self.ledger.health.ejected_until_ms)
         if was_resting and not self.ledger.health.is_ejected(now_ms):
             self._report([])
