--- a/features/steps/admission_steps.py
+++ b/features/steps/admission_steps.py
@@ -33,5 +33,5 @@
 def judged(context, tasks, fate):
     timers = ManualTimers()
     timers.time_ms = context.now_ms
-    overload = Admission(context.dispatch.placer, timers).judge(QUEUE, (one_step(tasks),))
+    overload = Admission(context.dispatch.placer, timers).check_overload(QUEUE, (one_step(tasks),))
     assert (overload is None) == (fate == "admitted"), overload
--- a/features/steps/caller_deadline_steps.py
+++ b/features/steps/caller_deadline_steps.py
@@ -12,7 +12,7 @@
 from platform_system import CALLER_HOST, RESUBMIT_MS
 
 from gapdrum.core.models import JobState, Resources, Step
-from gapdrum.entry.waiting_callers import Caller, WaitEnd, WaitingCallers
+from gapdrum.entry.waiting_callers import Caller, WaitingCallers, WaitOutcome
 from gapdrum.platform.submissions import decode_wait_limit_ms
 from gapdrum.timers import MS_PER_S, Timers
 
@@ -238,7 +238,7 @@
         time.sleep(2 * limit_ms / MS_PER_S)
         job = context.dispatch.jobs[JOB]
         job.ending = JobState.SUCCEEDED
-        context.callers.take_end(job)
+        context.callers.complete_job(job)
         context.dispatch.stopped.clear()
 
     ask(context, limit_ms, 0, end_late)
@@ -257,21 +257,21 @@
 
 @then('the caller is told "{state}", and no run was stopped')
 def told_end(context, state):
-    assert context.end == WaitEnd(JobState(state)), context.end
+    assert context.end == WaitOutcome(JobState(state)), context.end
     assert not context.dispatch.stopped
     assert "caller_gone" not in context.log.events
 
 
 @then("the caller is told that nothing is known, and no job was begun")
 def told_nothing_begun(context):
-    assert context.end == WaitEnd(), context.end
+    assert context.end == WaitOutcome(), context.end
     assert not context.dispatch.begun
     assert context.log.events == ["caller_gone"], context.log.events
 
 
 @then("the caller is told that nothing is known, and the job was stopped once")
 def told_nothing_stopped(context):
-    assert context.end == WaitEnd(), context.end
+    assert context.end == WaitOutcome(), context.end
     assert len(context.dispatch.stopped) == 1
     assert not context.dispatch.jobs
 
--- a/features/steps/late_claim_steps.py
+++ b/features/steps/late_claim_steps.py
@@ -60,7 +60,7 @@
     context.planned = PlannedTimers(pair.timers.time_ms)
     pair.agent.orders._timers = context.planned
     pair.join(RENAMED, (OWNER,))
-    context.told = pair.take_told()
+    context.told = pair.drain_sent()
 
 
 @when("its claim takes {delay_ms:d} ms")
@@ -68,8 +68,8 @@
     pair = context.pair
     pass_time(context, delay_ms)
     pair.deliver(context.told)
-    pair.deliver(pair.take_told())
-    pair.tell_agent()
+    pair.deliver(pair.drain_sent())
+    pair.deliver_to_agent()
 
 
 @then("the runs go on, and have not been stopped")
@@ -95,9 +95,9 @@
     context.runner.end(context.keys[0], RunEnd.DONE)
     pass_time(context, 100)
     pair.deliver(context.told)
-    pair.tell_agent()
-    pair.deliver(pair.take_told())
-    context.ordered = pair.tell_agent()
+    pair.deliver_to_agent()
+    pair.deliver(pair.drain_sent())
+    context.ordered = pair.deliver_to_agent()
 
 
 @then("that task counts as done, and is not started again")
@@ -121,8 +121,8 @@
         pair.part()
         pair.timers.time_ms += 200
         pair.join()
-    pair.tell_owner()
-    context.ordered = pair.tell_agent()
+    pair.deliver_to_owner()
+    context.ordered = pair.deliver_to_agent()
 
 
 def plan_timers(context):
@@ -147,8 +147,8 @@
         pair.part()
         stay_away(context, 200)
         pair.join()
-        pair.tell_owner()
-        pair.tell_agent()
+        pair.deliver_to_owner()
+        pair.deliver_to_agent()
         pass_time(context, up_ms)
 
 
--- a/features/steps/other_writer_steps.py
+++ b/features/steps/other_writer_steps.py
@@ -36,8 +36,8 @@
 )
 from gapdrum.core.rows import Put, Row, Transaction
 from gapdrum.core.runner_ledger import RunnerLedger
+from gapdrum.entry.group_commit import GroupCommitWriter
 from gapdrum.entry.takeover import Takeover
-from gapdrum.entry.writer import Writer
 from gapdrum.exceptions import FrameError, InvalidInputError, RecordError, StoreError
 from gapdrum.platform.configuration import decode_configuration
 from gapdrum.platform.heartbeats import decode_heartbeat
@@ -300,11 +300,11 @@
     )
     takeover = Takeover(
         context.store,
-        Writer(context.store, Background(log)),
+        GroupCommitWriter(context.store, Background(log)),
         context.lease,
         dispatch,
         SimpleNamespace(broadcast=lambda _message: None),
-        SimpleNamespace(is_settling=lambda _job_id: False),
+        SimpleNamespace(is_insert_pending=lambda _job_id: False),
         SimpleNamespace(known_state=lambda _job_id: None),
         SimpleNamespace(known=True, current=SimpleNamespace(queue_named=lambda _name: None)),
         timers,
@@ -313,7 +313,7 @@
 
     async def run():
         await context.lease.keep()
-        await takeover.scan_if_wanted()
+        await takeover.scan_if_due()
 
     asyncio.run(run())
 
--- a/features/steps/platform_core_steps.py
+++ b/features/steps/platform_core_steps.py
@@ -48,8 +48,8 @@
 from gapdrum.core.runner_models import EndedRun, RunnerSnapshot, RunningTask
 from gapdrum.core.runner_views import AgentView, RunnerView
 from gapdrum.entry.acceptance import Acceptance, Acceptor
+from gapdrum.entry.group_commit import GroupCommitWriter
 from gapdrum.entry.lease import Lease
-from gapdrum.entry.writer import Writer
 from gapdrum.event_log import EventLog
 from gapdrum.events import KINDS
 from gapdrum.exceptions import GapdrumError, StoreOutcomeUnknownError, StoreRejectedError
@@ -1070,7 +1070,7 @@
 def new_writer(context, name):
     context.store = FakeStore()
     context.store.apply(Transaction(puts=(Put(row_at(name), b"taken"),)))
-    context.writer = Writer(context.store, Background(new_log(ManualTimers())))
+    context.writer = GroupCommitWriter(context.store, Background(new_log(ManualTimers())))
 
 
 @when('the rows "{first}", "{second}" and "{third}" are inserted at once')
@@ -1113,7 +1113,7 @@
     context.owned = []
     context.acceptor = Acceptor(
         context.store,
-        Writer(context.store, Background(new_log(context.timers))),
+        GroupCommitWriter(context.store, Background(new_log(context.timers))),
         context.lease,
         context.timers,
         new_log(context.timers),
--- a/features/steps/refusal_steps.py
+++ b/features/steps/refusal_steps.py
@@ -20,12 +20,12 @@
 from gapdrum.core.endpoints import Endpoint
 from gapdrum.core.models import JobState
 from gapdrum.core.rows import Committed, Row
-from gapdrum.entry import configuration_inquiry, configuration_watch
+from gapdrum.entry import configuration_watch, peer_configuration
 from gapdrum.entry.acceptance import Acceptor
-from gapdrum.entry.configuration_inquiry import ConfigurationInquiry
 from gapdrum.entry.configuration_watch import ConfigurationWatch
-from gapdrum.entry.front import Front
+from gapdrum.entry.job_api import JobApi
 from gapdrum.entry.links import AgentLinks
+from gapdrum.entry.peer_configuration import PeerConfigurationFetcher
 from gapdrum.entry.waiting_callers import WaitingCallers
 from gapdrum.event_log import EventLog
 from gapdrum.exceptions import StoreRejectedError, StreamClosedError
@@ -104,8 +104,8 @@
     acceptor = Acceptor(
         None, context.writer, context.lease, context.timers, context.log, lambda _job: None
     )
-    admission = SimpleNamespace(is_shut_out=lambda *_: False, judge=lambda *_: None)
-    context.front = Front(
+    admission = SimpleNamespace(is_unschedulable=lambda *_: False, check_overload=lambda *_: None)
+    context.front = JobApi(
         context.configuration, context.dispatch, acceptor, admission, context.callers,
         SimpleNamespace(known_state=lambda _job: None), SimpleNamespace(up=True), context.lease,
         context.log,
@@ -122,7 +122,7 @@
 
 def take_row(context, value):
     news = TableNews((Row(CONFIGURATION_ROW, value, 1),), 1, is_whole=True)
-    context.configuration.take_table(news)
+    context.configuration.apply_table(news)
 
 
 def take_configuration(context, version):
@@ -426,7 +426,7 @@
         if not context.transport.closed:
             job = context.dispatch.jobs[JOB]
             job.ending = JobState.SUCCEEDED
-            context.callers.take_end(job)
+            context.callers.complete_job(job)
         await asyncio.sleep(ANSWER_WAIT_S)
 
     asyncio.run(run())
@@ -573,10 +573,10 @@
     links.configuration_value = lambda: value
     context.open_stream = lambda: PeerStream(links)
     peers = (Endpoint("10.0.0.2", 7720),)
-    context.inquiry = ConfigurationInquiry(
+    context.inquiry = PeerConfigurationFetcher(
         context.configuration, peers, context.log, Counter(), Counter()
     )
-    context.inquiry.is_store_away = lambda: not context.configuration.is_expected()
+    context.inquiry.is_store_unavailable = lambda: not context.configuration.is_expected()
 
 
 @given("another entry with version {version:d} of the configuration")
@@ -604,10 +604,10 @@
         return context.open_stream()
 
     with (
-        patch.object(configuration_inquiry, "open_stream", open_fake),
-        patch.object(configuration_inquiry, "ANSWER_TIMEOUT_MS", 20),
+        patch.object(peer_configuration, "open_stream", open_fake),
+        patch.object(peer_configuration, "ANSWER_TIMEOUT_MS", 20),
     ):
-        asyncio.run(context.inquiry.ask_if_wanted())
+        asyncio.run(context.inquiry.fetch_if_needed())
 
 
 @when("it asks the other entry, and then the store tells version {version:d}")
@@ -620,7 +620,7 @@
 @when("the store tells version {version:d}, and the other entry's word comes after that")
 def reads_and_hears(context, version):
     take_configuration(context, version)
-    context.configuration.take_told(document_of(7), "10.0.0.2")
+    context.configuration.apply_from_peer(document_of(7), "10.0.0.2")
 
 
 @then("it has version {version:d} of the configuration")
--- a/features/steps/run_bounds_steps.py
+++ b/features/steps/run_bounds_steps.py
@@ -3,11 +3,11 @@
 from behave import given, then
 
 from gapdrum.agent.entry_links import SILENT_ENTRY_MS
-from gapdrum.agent.runner_context import LAPSE_SLACK_MS as RUNNER_LAPSE_SLACK_MS
+from gapdrum.agent.runner_context import EXPIRY_MARGIN_MS as RUNNER_LAPSE_SLACK_MS
 from gapdrum.core.orders import BEAT_INTERVAL_MS
 from gapdrum.core.run_bounds import SILENCE_LIMIT_MS, RunBounds
 from gapdrum.core.runner_ledger import CLOCK_RATE_FLOOR
-from gapdrum.entry.lease import LAPSE_SLACK_MS
+from gapdrum.entry.lease import EXPIRY_MARGIN_MS
 
 RUNNER_STOP_MS = 50  # how long a stop may take at a runner, as the platform states
 
@@ -58,4 +58,4 @@
 
 @then("that is at least {margin_ms:d} ms before")
 def lease_over(_context, margin_ms):
-    assert margin_ms <= LAPSE_SLACK_MS
+    assert margin_ms <= EXPIRY_MARGIN_MS
--- a/features/steps/run_ownership_steps.py
+++ b/features/steps/run_ownership_steps.py
@@ -19,7 +19,7 @@
 from gapdrum.core.runner_ledger import CLOCK_RATE_FLOOR
 from gapdrum.core.runner_models import EndedRun, RunnerSnapshot, RunningTask
 from gapdrum.entry.admission import Overload
-from gapdrum.entry.front import Front
+from gapdrum.entry.job_api import JobApi
 from gapdrum.entry.waiting_callers import Caller, WaitingCallers
 from gapdrum.exceptions import StreamClosedError
 from gapdrum.platform.runner_calls import RunnerRejectedError
@@ -126,8 +126,10 @@
     dispatch = FakeDispatch()
     context.callers = WaitingCallers(dispatch, lease, timers, FakeLog())
     overload = Overload(9_000, 100, 50, 0) if state == "overloaded" else None
-    admission = SimpleNamespace(is_shut_out=lambda *_: False, judge=lambda *_: overload)
-    context.front = Front(
+    admission = SimpleNamespace(
+        is_unschedulable=lambda *_: False, check_overload=lambda *_: overload
+    )
+    context.front = JobApi(
         SimpleNamespace(current=SimpleNamespace(version=1)), dispatch, None, admission,
         context.callers, SimpleNamespace(known_state=lambda _job: None),
         SimpleNamespace(up=True), lease, SimpleNamespace(write=lambda *_a, **_k: None),
--- a/features/steps/submission_steps.py
+++ b/features/steps/submission_steps.py
@@ -83,7 +83,7 @@
         self.view.heard_ms = self.view.clock_ms = now_ms
         self.agent.orders.take(self.link, orders.BeatEcho(now_ms, True, False))
 
-    def take_told(self):
+    def drain_sent(self):
         """Take what the agent has sent on its present stream off it."""
         told = list(self.link.stream.sent)
         self.link.stream.sent.clear()
@@ -102,12 +102,12 @@
             elif isinstance(message, orders.RoomReport):
                 self.dispatch.apply_room(self.view, message)
 
-    def tell_owner(self):
+    def deliver_to_owner(self):
         """Deliver what the agent has sent to the owner."""
         self.agent.notifier.send_room()
-        self.deliver(self.take_told())
+        self.deliver(self.drain_sent())
 
-    def tell_agent(self):
+    def deliver_to_agent(self):
         """Place what waits, and deliver what the owner has sent; return the orders to start."""
         self.dispatch.placer.place_waiting(self.timers.now_ms())
         sent = [one for one in self.outside.sent if not isinstance(one, tuple)]
@@ -126,7 +126,7 @@
             self.timers.time_ms += BEAT_MS
             self.echo()
             self.poll()
-            self.tell_owner()
+            self.deliver_to_owner()
 
     # Callers.
 
@@ -143,12 +143,12 @@
 
     def start_all(self):
         """Order the tasks that wait, and let the runner show them at work; return their keys."""
-        keys = [order.key_of(row) for order in self.tell_agent() for row in order.runs]
+        keys = [order.key_of(row) for order in self.deliver_to_agent() for row in order.runs]
         for run in self.context.runs:
             run.calling = False
         self.context.runner.running += tuple(RunningTask(key, 5) for key in keys)
         self.poll()
-        self.tell_owner()
+        self.deliver_to_owner()
         return keys
 
 
@@ -158,7 +158,7 @@
     pair.join()
     pair.poll()
     pair.poll()
-    pair.tell_owner()
+    pair.deliver_to_owner()
 
 
 @given("a job of a waiting caller that is at work there")
@@ -174,13 +174,13 @@
     first, *others = context.keys
     runner.end(first, RunEnd(end))
     pair.poll()
-    pair.tell_owner()
+    pair.deliver_to_owner()
     pair.leave()
-    pair.tell_agent()
+    pair.deliver_to_agent()
     for key in others:
         runner.end(key, RunEnd.STOPPED)
     pair.poll()
-    pair.tell_owner()
+    pair.deliver_to_owner()
 
 
 @when("the caller submits the job again after its pause, and all its tasks are at work there again")
@@ -198,9 +198,9 @@
     pair.part()
     pair.timers.time_ms += 200
     pair.join()
-    context.told = pair.take_told()
+    context.told = pair.drain_sent()
     pair.deliver(context.told)
-    context.ordered = pair.tell_agent()
+    context.ordered = pair.deliver_to_agent()
 
 
 @then("no task is started beside its run that is at work")
@@ -237,7 +237,7 @@
     pair.submit()
     if fate == "refused":
         context.controller.set_zone_closed(True)
-        assert pair.tell_agent()
+        assert pair.deliver_to_agent()
         context.controller.set_zone_closed(False)
     else:
         keys = pair.start_all()
@@ -248,7 +248,7 @@
             context.runner.running = ()
         else:
             end_all(context, keys, RunEnd(fate.removeprefix("ended as ")))
-    context.held_up = [one for one in pair.take_told() if isinstance(one, orders.RunEvents)]
+    context.held_up = [one for one in pair.drain_sent() if isinstance(one, orders.RunEvents)]
     assert context.held_up
 
 
@@ -256,7 +256,7 @@
 def left_and_back(context):
     pair = context.pair
     pair.leave()
-    pair.tell_agent()
+    pair.deliver_to_agent()
     pair.pass_time(CALLER_PAUSE_MS)
     context.tasks = pair.submit()
     assert len(pair.start_all()) == TASKS
@@ -265,7 +265,7 @@
 @when("what was held up arrives")
 def held_up_arrives(context):
     context.pair.deliver(context.held_up)
-    context.ordered = context.pair.tell_agent()
+    context.ordered = context.pair.deliver_to_agent()
 
 
 @when(
--- a/features/steps/subset_steps.py
+++ b/features/steps/subset_steps.py
@@ -419,7 +419,7 @@
 @when("it asks for {wanted:d} thousandths while the store answers nothing")
 def asks_in_vain(context, wanted):
     context.store.away = True
-    context.lease.ask_for(wanted)
+    context.lease.request_agents(wanted)
     asyncio.run(context.lease.keep())
 
 
--- a/features/steps/urgent_work_steps.py
+++ b/features/steps/urgent_work_steps.py
@@ -199,7 +199,7 @@
     )
     document = {"version": context.version, "routes": routes, "limits": limits}
     row = Row(CONFIGURATION_ROW, json.dumps(document).encode(), context.version)
-    context.watch.take_table(TableNews((row,), context.version, is_whole=True))
+    context.watch.apply_table(TableNews((row,), context.version, is_whole=True))
 
 
 @given("a configuration with these shares is in force")
--- a/features/steps/zone_drain_steps.py
+++ b/features/steps/zone_drain_steps.py
@@ -133,7 +133,7 @@
 
 @when('version {version:d} of the table drains "{zone}"')
 def table_drains(context, version, zone):
-    context.watch.take_table(TableNews((drain_row(zone, version),), version, is_whole=True))
+    context.watch.apply_table(TableNews((drain_row(zone, version),), version, is_whole=True))
 
 
 @when("another process tells version {version:d} without drained zones")
@@ -143,20 +143,20 @@
 
 @when("the whole table is read as of version {version:d}, without drained zones")
 def stale_read(context, version):
-    context.watch.take_table(TableNews((), version, is_whole=True))
+    context.watch.apply_table(TableNews((), version, is_whole=True))
 
 
 @when('the feed goes on to version {version:d}, where "{zone}" is {state}')
 def feed_goes_on(context, version, zone, state):
     value = b"{}" if state == "drained" else None
     row = drain_row(zone, version, value)
-    context.watch.take_table(TableNews((row,), version, is_whole=False))
+    context.watch.apply_table(TableNews((row,), version, is_whole=False))
 
 
 @when('version {version:d} of the table holds "config", "wave/3", "evacuate/" and "{last}"')
 def table_holds(context, version, last):
     rows = tuple(operator_row(key, version) for key in ("config", "wave/3", "evacuate/", last))
-    context.watch.take_table(TableNews(rows, version, is_whole=True))
+    context.watch.apply_table(TableNews(rows, version, is_whole=True))
 
 
 @then('the zone "{zone}" is closed')
@@ -245,14 +245,14 @@
 @when('it learns that "{zone}" is drained')
 def agent_learns(context, zone):
     version = context.watch.drains.version + 1
-    context.watch.take_table(TableNews((drain_row(zone, version),), version, is_whole=True))
+    context.watch.apply_table(TableNews((drain_row(zone, version),), version, is_whole=True))
 
 
 @when("it learns that nothing is drained")
 def agent_learns_restored(context):
     context.link.sent.clear()
     version = context.watch.drains.version + 1
-    context.watch.take_table(TableNews((), version, is_whole=True))
+    context.watch.apply_table(TableNews((), version, is_whole=True))
 
 
 @when("an entry tells that nothing is drained")
@@ -383,11 +383,11 @@
 def shut_out(context, label="", elsewhere=()):
     admission = Admission(context.dispatch.placer, ManualTimers(), lambda: elsewhere)
     step = Step(1, Resources(500, 10, 0), 100, required_label=label)
-    return admission.is_shut_out(QUEUE, (step,))
+    return admission.is_unschedulable(QUEUE, (step,))
 
 
 @then("a job that comes is shut out, unless other entries see agents in open zones")
-def is_shut_out(context):
+def is_unschedulable(context):
     assert shut_out(context)
     assert shut_out(context, elsewhere=[VisibleCapacity(0, 0)])
     assert not shut_out(context, elsewhere=[VisibleCapacity(0, 0), VisibleCapacity(3, 0)])
--- a/src/gapdrum/agent/program.py
+++ b/src/gapdrum/agent/program.py
@@ -65,7 +65,7 @@
         self.links.on_message = self.orders.take
         self.operators = OperatorFeed(RowStore(boot.store, log), timers, log)
         self.zones = ZoneWatch(log)
-        self.operators.subscribe(self.zones.take_table)
+        self.operators.subscribe(self.zones.apply_table)
         self.standby = TableStandby(self.operators, self.links, timers, log)
         self.zones.on_change = self._take_zones
         self.orders.zones = self.zones
--- a/src/gapdrum/agent/run_launcher.py
+++ b/src/gapdrum/agent/run_launcher.py
@@ -1,6 +1,6 @@
 """Starts and stops runs at one incarnation of a runner, as entries order."""
 
-from gapdrum.agent.runner_context import LAPSE_SLACK_MS, RunnerContext
+from gapdrum.agent.runner_context import EXPIRY_MARGIN_MS, RunnerContext
 from gapdrum.background import Background
 from gapdrum.backoff import Backoff
 from gapdrum.core import orders
@@ -90,7 +90,7 @@
         )
         self.ledger.begin(run)
         self._context.offers.use(owner, row.room)
-        lease_ends_ms = self._context.timers.awake_ms() + left_ms + LAPSE_SLACK_MS
+        lease_ends_ms = self._context.timers.awake_ms() + left_ms + EXPIRY_MARGIN_MS
         self._call_start(run, order.spec, lease_ends_ms)
 
     def _call_start(self, run: Run, spec: str, lease_ends_ms: int) -> None:
--- a/src/gapdrum/agent/runner_context.py
+++ b/src/gapdrum/agent/runner_context.py
@@ -17,7 +17,7 @@
 from gapdrum.timers import Timers
 
 # A lease ends at the runner at most this much later than asked: its clock may be 2% slow.
-LAPSE_SLACK_MS = 150
+EXPIRY_MARGIN_MS = 150
 # A start has the lease that is there, and needs so much of it: the call, and one repetition of it.
 LEAST_START_MS = 250
 
--- a/src/gapdrum/agent/runner_poller.py
+++ b/src/gapdrum/agent/runner_poller.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections import deque
 
-from gapdrum.agent.runner_context import LAPSE_SLACK_MS, RunnerContext
+from gapdrum.agent.runner_context import EXPIRY_MARGIN_MS, RunnerContext
 from gapdrum.background import Background
 from gapdrum.core.poll_schedule import POLL_ANSWER_MS, Poll
 from gapdrum.core.runner_models import RunnerSnapshot
@@ -115,7 +115,7 @@
         """Look once, and renew the lease by so much; raises what the call raises."""
         context = self._context
         until_ms = context.extend_lease(left_ms)
-        call = context.bound.begin_renewal(context.timers.awake_ms() + left_ms + LAPSE_SLACK_MS)
+        call = context.bound.begin_renewal(context.timers.awake_ms() + left_ms + EXPIRY_MARGIN_MS)
         sent = True
         try:
             return await context.calls.poll(
--- a/src/gapdrum/core/dispatch.py
+++ b/src/gapdrum/core/dispatch.py
@@ -245,20 +245,20 @@
         if end not in job.unstored_ends:
             job.unstored_ends.append(end)
 
-    def let_go(self, place: Place, numbers: tuple[int, ...]) -> None:
+    def acknowledge_ends(self, place: Place, numbers: tuple[int, ...]) -> None:
         """Tell an agent that ends need not be kept at the runner."""
         self.effects.send(place.agent, orders.EndsStored(place.runner_id, numbers, ()))
 
     def _let_go_outrun(self, place: Place, number: int) -> None:
         self.effects.send(place.agent, orders.EndsStored(place.runner_id, (), (number,)))
 
-    def let_go_stored(self, job: Job, ends: list[StoredEnd]) -> None:
+    def acknowledge_stored_ends(self, job: Job, ends: list[StoredEnd]) -> None:
         """Tell the agents that ends of a job are stored."""
         by_place: dict[Place, list[int]] = {}
         for end in ends:
             by_place.setdefault(end.place, []).append(end.number)
         for place, numbers in by_place.items():
-            self.let_go(place, tuple(numbers))
+            self.acknowledge_ends(place, tuple(numbers))
         job.unstored_ends = [end for end in job.unstored_ends if end not in ends]
 
     def _move(self, job: Job, task: Task, event: orders.RunEvent, now_ms: int) -> None:
--- a/src/gapdrum/core/placer.py
+++ b/src/gapdrum/core/placer.py
@@ -107,7 +107,7 @@
         )
         return free * largest_cpu_milli >= needed
 
-    def is_shut_out(self, upstream: str, steps: tuple[Step, ...]) -> bool:
+    def is_unschedulable(self, upstream: str, steps: tuple[Step, ...]) -> bool:
         """Tell whether a job could run in drained zones only, by the runners that are known.
 
         Such a job would wait until it is given up, half of its slack later, and then be refused.
--- a/src/gapdrum/entry/acceptance.py
+++ b/src/gapdrum/entry/acceptance.py
@@ -17,16 +17,16 @@
     step_row,
 )
 from gapdrum.core.rows import ABSENT, Committed, Conflict, Expectation, Put, Transaction
+from gapdrum.entry.group_commit import GroupCommitWriter
 from gapdrum.entry.lease import Lease
 from gapdrum.entry.store_access import StoreAccess
-from gapdrum.entry.writer import Writer
 from gapdrum.event_log import EventLog
 from gapdrum.exceptions import StoreOutcomeUnknownError, StoreRejectedError
 from gapdrum.timers import MS_PER_S, Timers
 
 # A caller waits 1.5 s for its answer; before that it is told to ask again.
-ANSWER_WITHIN_MS = 1_100
-SETTLE_INTERVAL_MS = 300
+ACCEPT_TIMEOUT_MS = 1_100
+INSERT_RETRY_INTERVAL_MS = 300
 
 
 class Acceptance(enum.Enum):
@@ -48,7 +48,7 @@
     def __init__(
         self,
         store: StoreAccess,
-        writer: Writer,
+        writer: GroupCommitWriter,
         lease: Lease,
         timers: Timers,
         log: EventLog,
@@ -62,7 +62,7 @@
         self._own = own
         self._settling: dict[str, asyncio.Task] = {}
 
-    def is_settling(self, job_id: str) -> bool:
+    def is_insert_pending(self, job_id: str) -> bool:
         """Tell whether the store has not yet said what became of a job's row."""
         return job_id in self._settling
 
@@ -75,7 +75,7 @@
             settling = asyncio.ensure_future(self._insert(job_id, queue, spec, steps))
             self._settling[job_id] = settling
             settling.add_done_callback(lambda _task: self._settling.pop(job_id, None))
-        done, _ = await asyncio.wait({settling}, timeout=ANSWER_WITHIN_MS / MS_PER_S)
+        done, _ = await asyncio.wait({settling}, timeout=ACCEPT_TIMEOUT_MS / MS_PER_S)
         if not done:
             self._log.write("job_unsettled", request=job_id, queue=queue.name)
             return Acceptance.UNSETTLED
@@ -88,7 +88,7 @@
         unanswered = False
         while True:
             owner = self._lease.owner
-            record = first_record(queue, spec, steps, owner, self._timers.wall_ms())
+            record = initial_record(queue, spec, steps, owner, self._timers.wall_ms())
             try:
                 result = await self._writer.write(job_part(job_id), _insertion(job_id, record))
             except StoreOutcomeUnknownError:
@@ -100,7 +100,7 @@
             else:
                 self._take_result(job_id, queue, record, result, began_ms)
                 return Acceptance.ACCEPTED
-            await asyncio.sleep(SETTLE_INTERVAL_MS / MS_PER_S)
+            await asyncio.sleep(INSERT_RETRY_INTERVAL_MS / MS_PER_S)
 
     def _take_result(
         self,
@@ -136,10 +136,10 @@
         if record.owner != self._lease.owner:
             return  # the lease was lost meanwhile: the job is taken over like any other
         now_ms = self._timers.now_ms()
-        self._own(job_of_queue(job_id, record, version, queue, now_ms - store_ms))
+        self._own(build_queue_job(job_id, record, version, queue, now_ms - store_ms))
 
 
-def first_record(
+def initial_record(
     queue: Queue, spec: str, steps: tuple[Step, ...], owner: str, wall_ms: int
 ) -> OpenJob:
     """Return the record of a job at its first owner."""
@@ -164,7 +164,7 @@
     )
 
 
-def job_of_queue(
+def build_queue_job(
     job_id: str,
     record: OpenJob,
     version: int,
--- a/src/gapdrum/entry/admission.py
+++ b/src/gapdrum/entry/admission.py
@@ -13,7 +13,7 @@
 
 # The wait is an estimate: only a job that would begin too late by this factor is refused at
 # once. In replays of a load of 90% of the room a factor of 1 refuses 2.2% so, 1.5 refuses 1.3%.
-DOUBT_FACTOR = 1.5
+WAIT_TOLERANCE_FACTOR = 1.5
 
 
 @attrs.frozen
@@ -33,22 +33,22 @@
         self,
         placer: Placer,
         timers: Timers,
-        views_elsewhere: Callable[[], Sequence[VisibleCapacity]] = tuple,
+        peer_views: Callable[[], Sequence[VisibleCapacity]] = tuple,
     ) -> None:
         self._placer = placer
         self._timers = timers
-        self._views_elsewhere = views_elsewhere
+        self._views_elsewhere = peer_views
 
-    def is_shut_out(self, queue: Queue, steps: tuple[Step, ...]) -> bool:
+    def is_unschedulable(self, queue: Queue, steps: tuple[Step, ...]) -> bool:
         """Tell whether a job could run in drained zones only, so that it would wait in vain.
 
         While other entries see agents in open zones, some of those are about to join this one.
         """
         if any(view.agents for view in self._views_elsewhere()):
             return False
-        return self._placer.is_shut_out(queue.upstream, steps)
+        return self._placer.is_unschedulable(queue.upstream, steps)
 
-    def judge(self, queue: Queue, steps: tuple[Step, ...]) -> Overload | None:
+    def check_overload(self, queue: Queue, steps: tuple[Step, ...]) -> Overload | None:
         """Return None to admit a job; it is refused if it would only wait until it is given up."""
         now_ms = self._timers.now_ms()
         self._placer.meter.note(queue, steps, now_ms)
@@ -56,7 +56,7 @@
         within_ms = begin_within_ms(chain_ms, queue.latency_factor, queue.latency_slack_ms)
         begin_by_ms = now_ms + within_ms
         wait_ms = self._placer.expected_wait_ms(steps, queue.priority, begin_by_ms, now_ms)
-        if wait_ms <= DOUBT_FACTOR * within_ms:
+        if wait_ms <= WAIT_TOLERANCE_FACTOR * within_ms:
             return None
         placer = self._placer
         # An entry that has placed little lately takes any work that waits for a long wait.
--- a/src/gapdrum/entry/configuration_watch.py
+++ b/src/gapdrum/entry/configuration_watch.py
@@ -40,13 +40,13 @@
                 await asyncio.wait_for(self._taken.wait(), FIRST_WITHIN_MS / MS_PER_S)
         return self.current
 
-    def take_table(self, news: TableNews) -> None:
+    def apply_table(self, news: TableNews) -> None:
         """Take rows of the operators' table."""
         for row in news.rows:
             if row.at == CONFIGURATION_ROW and row.value is not None:
                 self._take_row(row, "table")
 
-    def take_told(self, value: bytes, source: str) -> None:
+    def apply_from_peer(self, value: bytes, source: str) -> None:
         """Take the value of the configuration's row as another entry has told it."""
         self._take_row(Row(CONFIGURATION_ROW, value, ABSENT), source)
 
--- a/src/gapdrum/entry/writer.py
+++ b/src/gapdrum/entry/group_commit.py
@@ -32,7 +32,7 @@
         return values + self.entries * ENTRY_OVERHEAD_BYTES
 
 
-class Writer:
+class GroupCommitWriter:
     """Writes small changes, those of one part together.
 
     ::
--- a/src/gapdrum/entry/front.py
+++ b/src/gapdrum/entry/job_api.py
@@ -13,7 +13,7 @@
 from gapdrum.entry.acceptance import Acceptance, Acceptor
 from gapdrum.entry.admission import Admission
 from gapdrum.entry.configuration_watch import ConfigurationWatch
-from gapdrum.entry.endings import Endings
+from gapdrum.entry.job_ends import JobEndRecorder
 from gapdrum.entry.lease import Lease
 from gapdrum.entry.refusal_counts import RefusalCounts
 from gapdrum.entry.store_access import StoreAccess
@@ -41,7 +41,7 @@
 CANCEL_PAUSE_MS = 50
 
 
-class Front:
+class JobApi:
     """Answers callers. Each answer says what is known, and nothing more."""
 
     def __init__(
@@ -51,7 +51,7 @@
         acceptor: Acceptor,
         admission: Admission,
         callers: WaitingCallers,
-        endings: Endings,
+        endings: JobEndRecorder,
         store: StoreAccess,
         lease: Lease,
         log: EventLog,
@@ -130,7 +130,7 @@
 
     def _count_waiting(self, queue: Queue) -> HttpResponse:
         own = self._dispatch.count_waiting().get(queue.name, 0)
-        return waiting_response(own + self._lease.waiting_elsewhere(queue.name))
+        return waiting_response(own + self._lease.waiting_at_peers(queue.name))
 
     # Submitting.
 
@@ -184,9 +184,9 @@
             return self._note_refusal(job_id, queue, 503, "store_unavailable", RETRY_AFTER_S)
         if not job.answered_at_end and not self._lease.valid:
             return self._note_refusal(job_id, queue, 503, "lease_not_held", RETRY_AFTER_S)
-        if job.answered_at_end and self._admission.is_shut_out(queue, job.steps):
+        if job.answered_at_end and self._admission.is_unschedulable(queue, job.steps):
             return self._note_refusal(job_id, queue, 503, "zones_drained", RETRY_AFTER_S)
-        overload = self._admission.judge(queue, job.steps)
+        overload = self._admission.check_overload(queue, job.steps)
         if overload is not None:
             self._log.write(
                 "wait_estimated",
@@ -281,7 +281,7 @@
         if job.kept:
             await self._endings.finish(job)
         else:
-            self._callers.take_end(job)
+            self._callers.complete_job(job)
 
     async def _cancel_in_store(self, job_id: str) -> bool:
         row = await self._store.read_row(open_row(job_id))
--- a/src/gapdrum/entry/endings.py
+++ b/src/gapdrum/entry/job_ends.py
@@ -22,10 +22,10 @@
     progress_row,
 )
 from gapdrum.core.rows import ABSENT, Committed, Conflict, Expectation, Put, Row, Transaction
+from gapdrum.entry.group_commit import GroupCommitWriter
 from gapdrum.entry.links import AgentLinks
-from gapdrum.entry.peer_notices import PeerNotices
+from gapdrum.entry.peer_notifier import PeerNotifier
 from gapdrum.entry.store_access import StoreAccess
-from gapdrum.entry.writer import Writer
 from gapdrum.event_log import EventLog
 from gapdrum.exceptions import StoreError
 from gapdrum.timers import MS_PER_S, Timers
@@ -33,9 +33,9 @@
 RETRY_INTERVAL_MS = 200
 PROGRESS_INTERVAL_MS = 250
 # Ends must be noted within ``ack_ms`` (4 s); shorter jobs note theirs with their own end.
-PROGRESS_AFTER_MS = 1_200
-KEPT_ENDED = 20_000  # states of ended jobs in memory: 2 minutes at 150 jobs a second
-FOREIGN_LOOKUPS = 16  # lookups of jobs of others that may be under way; more are tried later
+PROGRESS_DELAY_MS = 1_200
+MAX_REMEMBERED_ENDS = 20_000  # states of ended jobs in memory: 2 minutes at 150 jobs a second
+MAX_UNOWNED_LOOKUPS = 16  # lookups of jobs of others that may be under way; more are tried later
 
 
 @attrs.frozen
@@ -46,16 +46,16 @@
     attempts: dict[tuple[int, int], int]
 
 
-class Endings:
+class JobEndRecorder:
     """Moves ended jobs to their table, and tells agents which ends need not be kept."""
 
     def __init__(
         self,
         store: StoreAccess,
-        writer: Writer,
+        writer: GroupCommitWriter,
         dispatch: Dispatch,
         links: AgentLinks,
-        peers: PeerNotices,
+        peers: PeerNotifier,
         timers: Timers,
         log: EventLog,
     ) -> None:
@@ -79,7 +79,7 @@
         """Remember a job's end."""
         attempts = {(row.step, row.index): row.attempt for row in record.restarts}
         self._known[job_id] = KnownEnd(record, attempts)
-        while len(self._known) > KEPT_ENDED:
+        while len(self._known) > MAX_REMEMBERED_ENDS:
             self._known.popitem(last=False)
 
     # Jobs of this entry.
@@ -119,13 +119,13 @@
             objective_ms=job.objective_ms,
         )
         self.remember(job.job_id, record)
-        self._dispatch.let_go_stored(job, list(job.unstored_ends))
+        self._dispatch.acknowledge_stored_ends(job, list(job.unstored_ends))
         self._dispatch.stop_runs(job)
         self._dispatch.drop_job(job.job_id, "ended")
 
     async def store_progress(self) -> None:
         """Store the ends of tasks of jobs that go on for longer."""
-        limit_ms = self._timers.now_ms() - PROGRESS_AFTER_MS
+        limit_ms = self._timers.now_ms() - PROGRESS_DELAY_MS
         for job in list(self._dispatch.jobs.values()):
             if job.kept and job.ending is None and 0 < job.progress_dirty_ms <= limit_ms:
                 self._background.spawn(self._store_job_progress(job))
@@ -142,14 +142,14 @@
             result = await self._writer.write(job_part(job.job_id), transaction)
         except StoreError as error:
             self._log.write("progress_unsettled", request=job.job_id, code=error.code)
-            job.progress_dirty_ms = self._timers.now_ms() - PROGRESS_AFTER_MS + RETRY_INTERVAL_MS
+            job.progress_dirty_ms = self._timers.now_ms() - PROGRESS_DELAY_MS + RETRY_INTERVAL_MS
             return
         if isinstance(result, Conflict):
             if job.ending is None:
                 self._dispatch.drop_job(job.job_id, "row_changed_by_another")
             return
         self._log.write("progress_stored", request=job.job_id, ends=len(ends))
-        self._dispatch.let_go_stored(job, ends)
+        self._dispatch.acknowledge_stored_ends(job, ends)
 
     # Jobs of others.
 
@@ -167,16 +167,16 @@
         self._log.write("job_cancelled", request=job_id, owner=found.owner, epoch=record.epoch)
         self.remember(job_id, record)
         self._links.broadcast(JobsClaimed((JobEpoch(job_id, record.epoch),)))
-        self._peers.tell_cancelled(found.owner, job_id, record.epoch)
+        self._peers.notify_cancelled(found.owner, job_id, record.epoch)
         return True
 
-    def take_foreign_end(self, place: Place, event: RunEvent) -> None:
+    def resolve_unowned_end(self, place: Place, event: RunEvent) -> None:
         """Let an end go at its runner if its job has ended; look that up where it isn't known."""
         job_id = TaskName.parse(event.task).job_id
         known = self._known.get(job_id)
         if known is not None:
             self._let_go(place, event, known)
-        elif job_id not in self._lookups and len(self._lookups) < FOREIGN_LOOKUPS:
+        elif job_id not in self._lookups and len(self._lookups) < MAX_UNOWNED_LOOKUPS:
             self._lookups.add(job_id)
             self._background.spawn(self._look_up(place, event, job_id))
 
@@ -195,7 +195,7 @@
         if ended is not None:
             self._let_go(place, event, self._known[job_id])
         elif opened is None:
-            self._dispatch.let_go(place, (event.end_number,))
+            self._dispatch.acknowledge_ends(place, (event.end_number,))
 
     def _let_go(self, place: Place, event: RunEvent, known: KnownEnd) -> None:
         """Let an end of an ended job go; one that was outrun only after the lease lapsed."""
@@ -205,7 +205,7 @@
             message = EndsStored(place.runner_id, (), (event.end_number,))
             self._links.send(place.agent, message)
         else:
-            self._dispatch.let_go(place, (event.end_number,))
+            self._dispatch.acknowledge_ends(place, (event.end_number,))
 
 
 def _ending(job_id: str, version: int, record: EndedJob, has_progress: bool) -> Transaction:
--- a/src/gapdrum/entry/lease.py
+++ b/src/gapdrum/entry/lease.py
@@ -34,15 +34,15 @@
 # outages of the store are as long, and the jobs of a lost entry wait for so long.
 LEASE_MS = 4_000
 # Others take a lease as lapsed only later, by their own clocks and timers.
-LAPSE_SLACK_MS = 600
+EXPIRY_MARGIN_MS = 600
 # Former names that agents are told: what runs under one outlives its lease by about a second.
-FORMER_OWNERS = 4
+MAX_FORMER_OWNERS = 4
 # The incarnation of a lease that can't be read: no owner of any job is named so.
-UNREADABLE = "unreadable"
+UNREADABLE_INCARNATION = "unreadable"
 
 
 @attrs.define
-class SeenLease:
+class ObservedLease:
     """Another entry's lease, and since when it has not changed while the store answered."""
 
     lease: EntryLease
@@ -53,7 +53,7 @@
 class Lease:
     """Holds the lease of this entry and watches the others'.
 
-    ``on_answer_lost`` is called when another entry has ended the lease, and ``on_orphans`` when a
+    ``on_answer_lost`` is called when another entry has ended the lease, and ``on_orphaned_jobs`` when a
     life of an entry has ended, so that its jobs are without an owner.
     """
 
@@ -66,11 +66,11 @@
         log: EventLog,
     ) -> None:
         self.instance = instance
-        self.others: dict[str, SeenLease] = {}
+        self.others: dict[str, ObservedLease] = {}
         self.count_waiting: Callable[[], dict[str, int]] = dict
         self.view_agents: Callable[[], VisibleCapacity] = lambda: VisibleCapacity(0, 0)
         self.on_answer_lost: Callable[[], None] = lambda: None
-        self.on_orphans: Callable[[], None] = lambda: None
+        self.on_orphaned_jobs: Callable[[], None] = lambda: None
         self._address = address
         self._store = store
         self._timers = timers
@@ -81,7 +81,7 @@
         self._leaving = False
         self._wake = asyncio.Event()
         self._written_address: EntryAddress | None = None
-        self.former_owners: deque[str] = deque(maxlen=FORMER_OWNERS)
+        self.former_owners: deque[str] = deque(maxlen=MAX_FORMER_OWNERS)
         self.incarnation = _new_incarnation()
 
     def _new_life(self) -> None:
@@ -112,7 +112,7 @@
         self._take_renewal(result.version, sent_ms)
         self._log.write("lease_taken", owner=self.owner, version=self._version)
 
-    def ask_for(self, wanted_permille: int) -> None:
+    def request_agents(self, wanted_permille: int) -> None:
         """Ask for a share of all agents, with a renewal at once."""
         self._address = attrs.evolve(self._address, wanted_permille=wanted_permille)
         self._wake.set()
@@ -196,7 +196,7 @@
                 ended.append(name)
         if ended:
             self._log.write("owners_gone", entries=ended)
-            self.on_orphans()
+            self.on_orphaned_jobs()
         return self._owners()
 
     def _owners(self) -> frozenset[str]:
@@ -213,8 +213,10 @@
         except RecordError as error:
             # Another writer's: like a lease that is not renewed, it lapses and is removed.
             self._note_unreadable(row, error)
-            lease = before.lease if before is not None else EntryLease(UNREADABLE, 0, ())
-        self.others[name] = SeenLease(lease, row.version, now_ms)
+            lease = (
+                before.lease if before is not None else EntryLease(UNREADABLE_INCARNATION, 0, ())
+            )
+        self.others[name] = ObservedLease(lease, row.version, now_ms)
         return before is not None and before.lease.incarnation != lease.incarnation
 
     def _note_unreadable(self, row: Row, error: RecordError) -> None:
@@ -224,7 +226,7 @@
 
     def _has_lapsed(self, name: str, now_ms: int) -> bool:
         unchanged_ms = now_ms - self.others[name].unchanged_since_ms
-        return unchanged_ms > LEASE_MS + LAPSE_SLACK_MS
+        return unchanged_ms > LEASE_MS + EXPIRY_MARGIN_MS
 
     async def _end_lease(self, name: str) -> bool:
         """Remove a lapsed lease, unless it has been renewed; return whether it was removed."""
@@ -259,12 +261,12 @@
         except StoreError as error:
             self._log.write("lease_call_failed", code=error.code, reason=error.message)
 
-    def views_elsewhere(self) -> list[VisibleCapacity]:
+    def peer_views(self) -> list[VisibleCapacity]:
         """Return what the other entries see of the agents, by their last renewals."""
         leases = [seen.lease for seen in self.others.values()]
         return [VisibleCapacity(lease.agents, lease.free_permille) for lease in leases]
 
-    def waiting_elsewhere(self, queue: str) -> int:
+    def waiting_at_peers(self, queue: str) -> int:
         """Return how many jobs of a queue wait at other entries, by their last renewals."""
         return sum(
             depth.waiting
--- a/src/gapdrum/entry/links.py
+++ b/src/gapdrum/entry/links.py
@@ -14,7 +14,7 @@
 from gapdrum.zone_watch import ZoneWatch
 
 # A stream without a beat for this long is cut; the agent connects again.
-SILENT_STREAM_MS = 2_000
+STREAM_TIMEOUT_MS = 2_000
 
 
 class AgentLinks:
@@ -30,7 +30,7 @@
         self.owner: Callable[[], str] = str
         self.former_owners: Callable[[], tuple[str, ...]] = tuple
         self.holds_lease: Callable[[], bool] = lambda: False
-        self.unsettled_claims: Callable[[], tuple[orders.JobEpoch, ...]] = tuple
+        self.pending_claims: Callable[[], tuple[orders.JobEpoch, ...]] = tuple
         self.zones = ZoneWatch(log)
         self.follows_table: Callable[[], bool] = lambda: False
         self.configuration_value: Callable[[], bytes | None] = lambda: None
@@ -94,7 +94,7 @@
             stream.send(self.zones.drains_told())  # before any order: the agent starts nothing else
         # What this entry claims would be stopped before its first beat is echoed otherwise.
         stream.send(self._echo(greeting.clock_ms))
-        claims = self.unsettled_claims()
+        claims = self.pending_claims()
         if claims:
             stream.send(orders.JobsClaimed(claims))
         try:
@@ -145,9 +145,9 @@
         else:
             raise FrameError(f"unexpected message {type(message).__name__}")
 
-    def cut_silent(self) -> None:
+    def close_silent_streams(self) -> None:
         """Cut streams whose agent was not heard for too long."""
-        limit_ms = self._timers.now_ms() - SILENT_STREAM_MS
+        limit_ms = self._timers.now_ms() - STREAM_TIMEOUT_MS
         for agent, stream in list(self._streams.items()):
             view = self.dispatch.fleet.agents.get(agent)
             if view is None or view.heard_ms < limit_ms:
--- a/src/gapdrum/entry/configuration_inquiry.py
+++ b/src/gapdrum/entry/peer_configuration.py
@@ -13,12 +13,12 @@
 from gapdrum.streams import open_stream
 from gapdrum.timers import MS_PER_S
 
-ASK_INTERVAL_MS = 500
+FETCH_INTERVAL_MS = 500
 CONNECT_TIMEOUT_S = 0.3
 ANSWER_TIMEOUT_MS = 300
 
 
-class ConfigurationInquiry:
+class PeerConfigurationFetcher:
     """Lets an entry that starts while the store is away serve callers.
 
     The entries that the settings name are asked in turn, only while this one has no configuration
@@ -34,7 +34,7 @@
         sent: Counter,
         received: Counter,
     ) -> None:
-        self.is_store_away: Callable[[], bool] = lambda: False
+        self.is_store_unavailable: Callable[[], bool] = lambda: False
         self._configuration = configuration
         self._peers = peers
         self._log = log
@@ -42,10 +42,10 @@
         self._received = received
         self._silent: set[Endpoint] = set()  # peers whose silence has a line already
 
-    async def ask_if_wanted(self) -> None:
+    async def fetch_if_needed(self) -> None:
         """Ask the other entries, if nothing else tells the configuration."""
         for peer in random.sample(self._peers, len(self._peers)):
-            if self._configuration.known or not self.is_store_away():
+            if self._configuration.known or not self.is_store_unavailable():
                 return
             try:
                 await self._ask(peer)
@@ -69,4 +69,4 @@
         finally:
             stream.close()
         if isinstance(answer, ConfigurationTold):
-            self._configuration.take_told(answer.value, source=peer.host)
+            self._configuration.apply_from_peer(answer.value, source=peer.host)
--- a/src/gapdrum/entry/peer_notices.py
+++ b/src/gapdrum/entry/peer_notifier.py
@@ -21,7 +21,7 @@
 READ_TIMEOUT_MS = 500
 
 
-class PeerNotices:
+class PeerNotifier:
     """Sends messages to other entries, each on a stream of its own, as there are few."""
 
     def __init__(
@@ -34,7 +34,7 @@
         self._sent = sent
         self._received = received
 
-    def tell_cancelled(self, owner: str, job_id: str, epoch: int) -> None:
+    def notify_cancelled(self, owner: str, job_id: str, epoch: int) -> None:
         """Tell an owner that its job was cancelled here, under a higher epoch.
 
         The agents that it uses may be unknown here, so only the owner can stop what runs there.
--- a/src/gapdrum/entry/program.py
+++ b/src/gapdrum/entry/program.py
@@ -17,20 +17,20 @@
 from gapdrum.core.records import EntryAddress
 from gapdrum.entry.acceptance import Acceptor
 from gapdrum.entry.admission import Admission
-from gapdrum.entry.configuration_inquiry import ASK_INTERVAL_MS, ConfigurationInquiry
 from gapdrum.entry.configuration_watch import ConfigurationWatch
-from gapdrum.entry.demand import Demand
-from gapdrum.entry.endings import PROGRESS_INTERVAL_MS, Endings
-from gapdrum.entry.front import Front
+from gapdrum.entry.group_commit import GroupCommitWriter
+from gapdrum.entry.job_api import JobApi
+from gapdrum.entry.job_ends import PROGRESS_INTERVAL_MS, JobEndRecorder
 from gapdrum.entry.lease import Lease
 from gapdrum.entry.links import AgentLinks
-from gapdrum.entry.peer_notices import PeerNotices
-from gapdrum.entry.queue_demand import TOLD_INTERVAL_MS, QueueDemandNotices
+from gapdrum.entry.peer_configuration import FETCH_INTERVAL_MS, PeerConfigurationFetcher
+from gapdrum.entry.peer_notifier import PeerNotifier
+from gapdrum.entry.queue_demand import QUEUE_DEMAND_INTERVAL_MS, QueueDemandPublisher
 from gapdrum.entry.refusal_counts import WRITE_INTERVAL_MS
+from gapdrum.entry.room_demand import RoomDemandPublisher
 from gapdrum.entry.store_access import StoreAccess
 from gapdrum.entry.takeover import Takeover
 from gapdrum.entry.waiting_callers import WaitingCallers
-from gapdrum.entry.writer import Writer
 from gapdrum.event_log import EventLog, run_program, write_loop_errors
 from gapdrum.operator_feed import OperatorFeed
 from gapdrum.pauses import TICK_MS
@@ -74,17 +74,17 @@
         rows = RowStore(boot.store, log)
         self.store = StoreAccess(rows, timers, log)
         self.background = Background(log)
-        self.writer = Writer(self.store, self.background)
+        self.writer = GroupCommitWriter(self.store, self.background)
         self.operators = OperatorFeed(RowStore(boot.store, log), timers, log)
         self.configuration = ConfigurationWatch(log)
-        self.inquiry = ConfigurationInquiry(
+        self.inquiry = PeerConfigurationFetcher(
             self.configuration, _peers(boot), log, self.sent, self.received
         )
         self.zones = ZoneWatch(log)
         address = EntryAddress("", boot.zone, boot.host, _advertised_port(boot))
         self.lease = Lease(boot.instance, address, self.store, timers, log)
         self.links = AgentLinks(timers, log, self.sent, self.received)
-        self.demand = Demand(self.links, timers)
+        self.demand = RoomDemandPublisher(self.links, timers)
         self.dispatch = build_dispatch(
             boot.zone,
             self,
@@ -92,9 +92,9 @@
             timers.now_ms(),
             far_factor=boot.far_factor,
         )
-        self.queue_demand = QueueDemandNotices(self.links, self.dispatch.placer, timers)
-        peers = PeerNotices(self.store, self.background, log, self.sent, self.received)
-        self.endings = Endings(
+        self.queue_demand = QueueDemandPublisher(self.links, self.dispatch.placer, timers)
+        peers = PeerNotifier(self.store, self.background, log, self.sent, self.received)
+        self.endings = JobEndRecorder(
             self.store, self.writer, self.dispatch, self.links, peers, timers, log
         )
         self.reach = Reach()
@@ -123,12 +123,12 @@
             self.log,
         )
 
-    def _build_front(self) -> Front:
-        return Front(
+    def _build_front(self) -> JobApi:
+        return JobApi(
             self.configuration,
             self.dispatch,
             self.acceptor,
-            Admission(self.dispatch.placer, self.timers, self.lease.views_elsewhere),
+            Admission(self.dispatch.placer, self.timers, self.lease.peer_views),
             self.callers,
             self.endings,
             self.store,
@@ -155,23 +155,23 @@
         return current.version if current is not None else 0
 
     def _wire(self) -> None:
-        self.operators.subscribe(self.zones.take_table)
-        self.operators.subscribe(self.configuration.take_table)
+        self.operators.subscribe(self.zones.apply_table)
+        self.operators.subscribe(self.configuration.apply_table)
         self.configuration.on_change = self._take_configuration
         self.configuration.is_expected = lambda: not self.operators.is_failing
-        self.inquiry.is_store_away = lambda: self.operators.is_failing
+        self.inquiry.is_store_unavailable = lambda: self.operators.is_failing
         self.links.configuration_value = lambda: self.configuration.value
         self.listener.on_refused = self.front.refusals.count
         self.zones.on_change = self._take_zones
         self.lease.count_waiting = self.dispatch.count_waiting
         self.lease.view_agents = self._view_agents
-        self.lease.on_orphans = self.takeover.ask
+        self.lease.on_orphaned_jobs = self.takeover.request_scan
         self.lease.on_answer_lost = self._lose_lease
         self.links.dispatch = self.dispatch
         self.links.owner = lambda: self.lease.owner
         self.links.former_owners = lambda: tuple(self.lease.former_owners)
         self.links.holds_lease = lambda: self.lease.valid
-        self.links.unsettled_claims = self.takeover.unsettled_claims
+        self.links.pending_claims = self.takeover.pending_claims
         self.links.zones = self.zones
         self.links.follows_table = lambda: self.operators.is_followed
 
@@ -186,7 +186,7 @@
         if job.kept:
             self.endings.store_end(job)
         else:
-            self.callers.take_end(job)
+            self.callers.complete_job(job)
 
     def job_refused(self, job: Job) -> None:
         """Tell the callers of a job that it has not run and will not."""
@@ -194,7 +194,7 @@
 
     def on_unowned_end(self, place: Place, event: orders.RunEvent) -> None:
         """Find out about an end of another's job."""
-        self.endings.take_foreign_end(place, event)
+        self.endings.resolve_unowned_end(place, event)
 
     def has_ended(self, job_id: str) -> bool:
         """Tell whether a job is known to have ended."""
@@ -213,7 +213,7 @@
     def _place_waiting(self) -> None:
         placer = self.dispatch.placer
         placer.place_waiting(self.timers.now_ms())
-        self.demand.tell(placer.demand)
+        self.demand.publish(placer.demand)
 
     def note(self, event: str, **fields: object) -> None:
         """Record a decision."""
@@ -247,7 +247,7 @@
             if job.kept:
                 self.dispatch.drop_job(job.job_id, "lease_lost")
         self.links.broadcast(self.links.greeting())
-        self.takeover.ask()
+        self.takeover.request_scan()
 
     def _show_readiness(self, _request: HttpRequest) -> HttpResponse:
         ready = not self.leaving and self.configuration.known and self.lease.valid and self.store.up
@@ -274,7 +274,7 @@
         return VisibleCapacity(fleet.count_open_agents(), fleet.free_permille())
 
     def _judge_reach(self) -> None:
-        own, others = self._view_agents(), self.lease.views_elsewhere()
+        own, others = self._view_agents(), self.lease.peer_views()
         work_waits = bool(self.dispatch.placer.demand)
         if self.leaving or not self.reach.adjust(own, others, work_waits, self.timers.now_ms()):
             return
@@ -285,7 +285,7 @@
             free_permille=own.free_permille,
             others=len(others),
         )
-        self.lease.ask_for(self.reach.wanted_permille)
+        self.lease.request_agents(self.reach.wanted_permille)
 
     async def _keep_lease(self) -> None:
         while True:
@@ -309,12 +309,12 @@
         await self.listener.open(boot.callers.host, boot.callers.port)
         await open_metrics(boot.host, self.log.measures, self.timers)
         self.timers.subscribe(TICK_MS, self._tick)
-        self.timers.subscribe(ASK_INTERVAL_MS, self.inquiry.ask_if_wanted)
+        self.timers.subscribe(FETCH_INTERVAL_MS, self.inquiry.fetch_if_needed)
         self.timers.subscribe(WRITE_INTERVAL_MS, self.front.refusals.write)
-        self.timers.subscribe(LINK_CHECK_INTERVAL_MS, self.links.cut_silent)
+        self.timers.subscribe(LINK_CHECK_INTERVAL_MS, self.links.close_silent_streams)
         self.timers.subscribe(REACH_INTERVAL_MS, self._judge_reach)
-        self.timers.subscribe(TOLD_INTERVAL_MS, self.queue_demand.tell)
-        self.timers.subscribe(TAKEOVER_INTERVAL_MS, self.takeover.scan_if_wanted)
+        self.timers.subscribe(QUEUE_DEMAND_INTERVAL_MS, self.queue_demand.publish)
+        self.timers.subscribe(TAKEOVER_INTERVAL_MS, self.takeover.scan_if_due)
         self.timers.subscribe(PROGRESS_INTERVAL_MS, self.endings.store_progress)
         self.log.write("started", role="entry", zone=boot.zone, life=self.lease.incarnation)
         await stopping.wait()
--- a/src/gapdrum/entry/queue_demand.py
+++ b/src/gapdrum/entry/queue_demand.py
@@ -6,13 +6,13 @@
 from gapdrum.timers import Timers
 
 # Agents that begin anew know all demand after this time, and forget it after three misses.
-TOLD_INTERVAL_MS = 500
+QUEUE_DEMAND_INTERVAL_MS = 500
 # While more of the room is free nothing needs to be kept, and agents are told nothing unless
 # operators have set shares.
 SCARCE_PERMILLE = 350
 
 
-class QueueDemandNotices:
+class QueueDemandPublisher:
     """Repeats the demand of all queues, as agents forget what is not told again."""
 
     def __init__(self, links: AgentLinks, placer: Placer, timers: Timers) -> None:
@@ -20,7 +20,7 @@
         self._placer = placer
         self._timers = timers
 
-    def tell(self) -> None:
+    def publish(self) -> None:
         """Tell all agents, if little room is left."""
         fleet = self._placer.fleet
         meter = self._placer.meter
--- a/src/gapdrum/entry/store_access.py
+++ b/src/gapdrum/entry/store_access.py
@@ -13,7 +13,7 @@
 
 # A slowed store answers in 0.3 s; one that does not answer for longer is taken as away.
 CALL_TIMEOUT_MS = 1_000
-SILENT_AFTER_MS = 500
+UNRESPONSIVE_AFTER_MS = 500
 FAILURES_UNTIL_DOWN = 2
 
 
@@ -43,7 +43,7 @@
         if not self._pending:
             return False
         oldest_ms = next(iter(self._pending.values()))
-        limit_ms = self._timers.now_ms() - SILENT_AFTER_MS
+        limit_ms = self._timers.now_ms() - UNRESPONSIVE_AFTER_MS
         return oldest_ms < limit_ms and self._succeeded_ms < limit_ms
 
     async def transact(self, transaction: Transaction) -> Committed | Conflict:
--- a/src/gapdrum/entry/takeover.py
+++ b/src/gapdrum/entry/takeover.py
@@ -18,13 +18,13 @@
 )
 from gapdrum.core.rows import Conflict, Expectation, Put, Row, Transaction
 from gapdrum.core.run_bounds import SILENCE_LIMIT_MS
-from gapdrum.entry.acceptance import Acceptor, job_of_queue
+from gapdrum.entry.acceptance import Acceptor, build_queue_job
 from gapdrum.entry.configuration_watch import ConfigurationWatch
-from gapdrum.entry.endings import Endings
+from gapdrum.entry.group_commit import GroupCommitWriter
+from gapdrum.entry.job_ends import JobEndRecorder
 from gapdrum.entry.lease import Lease
 from gapdrum.entry.links import AgentLinks
 from gapdrum.entry.store_access import StoreAccess
-from gapdrum.entry.writer import Writer
 from gapdrum.event_log import EventLog
 from gapdrum.exceptions import RecordError, StoreError
 from gapdrum.timers import Timers
@@ -41,12 +41,12 @@
     def __init__(
         self,
         store: StoreAccess,
-        writer: Writer,
+        writer: GroupCommitWriter,
         lease: Lease,
         dispatch: Dispatch,
         links: AgentLinks,
         acceptor: Acceptor,
-        endings: Endings,
+        endings: JobEndRecorder,
         configuration: ConfigurationWatch,
         timers: Timers,
         log: EventLog,
@@ -64,11 +64,11 @@
         self._wanted = True
         self._scanned_ms = 0
 
-    def ask(self) -> None:
+    def request_scan(self) -> None:
         """Ask for a scan soon, as an owner has gone."""
         self._wanted = True
 
-    async def scan_if_wanted(self) -> None:
+    async def scan_if_due(self) -> None:
         """Scan if an owner has gone, or the last scan is long ago."""
         now_ms = self._timers.now_ms()
         due = self._wanted or now_ms - self._scanned_ms > SCAN_INTERVAL_MS
@@ -108,7 +108,7 @@
     def _is_known(self, job_id: str) -> bool:
         return (
             job_id in self._dispatch.jobs
-            or self._acceptor.is_settling(job_id)
+            or self._acceptor.is_insert_pending(job_id)
             or self._endings.known_state(job_id) is not None
         )
 
@@ -138,7 +138,7 @@
     def _take(self, job_id: str, record: OpenJob, version: int, progress: Row | None) -> None:
         now_ms = self._timers.now_ms()
         queue = self._configuration.current.queue_named(record.queue)
-        job = job_of_queue(job_id, record, version, queue, now_ms)
+        job = build_queue_job(job_id, record, version, queue, now_ms)
         job.unknown_deadline_ms = now_ms + SILENCE_LIMIT_MS
         for task in job.tasks:
             task.phase = TaskPhase.UNKNOWN
@@ -164,7 +164,7 @@
         place = f"{row.at.table}/{row.at.part}/{row.at.key}"
         self._log.write("row_unreadable", place=place, reason=error.message)
 
-    def unsettled_claims(self) -> tuple[JobEpoch, ...]:
+    def pending_claims(self) -> tuple[JobEpoch, ...]:
         """Return the jobs of which agents that connect now may hold runs of earlier owners."""
         return tuple(
             JobEpoch(job.job_id, job.epoch)
--- a/src/gapdrum/entry/waiting_callers.py
+++ b/src/gapdrum/entry/waiting_callers.py
@@ -10,14 +10,14 @@
 from gapdrum.core.dispatch import Dispatch
 from gapdrum.core.jobs import Job
 from gapdrum.core.models import JobState, Step
-from gapdrum.entry.acceptance import first_record, job_of_queue
+from gapdrum.entry.acceptance import build_queue_job, initial_record
 from gapdrum.entry.lease import Lease
 from gapdrum.event_log import EventLog
 from gapdrum.pauses import PauseWatch
 from gapdrum.timers import MS_PER_S, Timers
 
 # A job that is sent again after its answer gets the same answer here.
-KEPT_ANSWERS = 10_000
+MAX_CACHED_ANSWERS = 10_000
 SUBMISSION_BITS = 48  # drawn at random: no two of a job that callers submit again are the same
 
 
@@ -39,7 +39,7 @@
 
 
 @attrs.frozen
-class WaitEnd:
+class WaitOutcome:
     """What a waiting caller is told: the job's final state, that it has not run, or neither."""
 
     state: JobState | None = None
@@ -59,7 +59,7 @@
         self._lease = lease
         self._timers = timers
         self._log = log
-        self._callers: dict[str, set[asyncio.Future[WaitEnd]]] = {}
+        self._callers: dict[str, set[asyncio.Future[WaitOutcome]]] = {}
         self._answers: OrderedDict[str, JobState] = OrderedDict()
         self._pauses = PauseWatch(timers.now_ms())
         self._waits: dict[asyncio.Future, int] = {}  # until when callers wait
@@ -71,18 +71,18 @@
         spec: str,
         steps: tuple[Step, ...],
         caller: Caller,
-    ) -> WaitEnd:
+    ) -> WaitOutcome:
         """Run a job to its end, or as far as it gets."""
         known = self._answers.get(job_id)
         if known is not None:
-            return WaitEnd(known)
+            return WaitOutcome(known)
         # The caller's time began before the request was read, if this entry stood still.
         caller = attrs.evolve(caller, received_ms=self._pauses.earliest_ms(caller.received_ms))
         left_s = self._left_s(caller)
         if left_s == 0 or caller.closed.done():
             # Whatever began now could overlap with what is sent again.
             self._note_gone(job_id, caller)
-            return WaitEnd()
+            return WaitOutcome()
         loop = asyncio.get_running_loop()
         ended, over = loop.create_future(), loop.create_future()
         self._callers.setdefault(job_id, set()).add(ended)
@@ -100,7 +100,7 @@
             return ended.result()
         self._note_gone(job_id, caller)
         self._leave(job_id, ended)
-        return WaitEnd()
+        return WaitOutcome()
 
     def _left_s(self, caller: Caller) -> float | None:
         if caller.until_ms is None:
@@ -130,8 +130,8 @@
         self, job_id: str, queue: Queue, spec: str, steps: tuple[Step, ...], caller: Caller
     ) -> None:
         now_ms = self._timers.now_ms()
-        record = first_record(queue, spec, steps, self._lease.owner, self._timers.wall_ms())
-        job = job_of_queue(job_id, record, 0, queue, now_ms, kept=False)
+        record = initial_record(queue, spec, steps, self._lease.owner, self._timers.wall_ms())
+        job = build_queue_job(job_id, record, 0, queue, now_ms, kept=False)
         job.caller_deadline_ms = caller.until_ms
         job.submission = 1 + secrets.randbits(SUBMISSION_BITS)
         self._log.write(
@@ -172,15 +172,15 @@
             for ended in list(callers):
                 self._leave(job_id, ended, "entry_ends")
                 if not ended.done():
-                    ended.set_result(WaitEnd())
+                    ended.set_result(WaitOutcome())
 
     def refuse(self, job: Job) -> None:
         """Tell the callers of a job that it has not run and will not."""
         for ended in self._callers.pop(job.job_id, set()):
             if not ended.done():
-                ended.set_result(WaitEnd(not_run=True))
+                ended.set_result(WaitOutcome(not_run=True))
 
-    def take_end(self, job: Job) -> None:
+    def complete_job(self, job: Job) -> None:
         """Answer the callers of a job that has ended."""
         state = job.ending
         self._log.write(
@@ -193,10 +193,10 @@
             objective_ms=job.objective_ms,
         )
         self._answers[job.job_id] = state
-        while len(self._answers) > KEPT_ANSWERS:
+        while len(self._answers) > MAX_CACHED_ANSWERS:
             self._answers.popitem(last=False)
         self._dispatch.stop_runs(job)
         self._dispatch.drop_job(job.job_id, "ended")
         for ended in self._callers.pop(job.job_id, set()):
             if not ended.done():
-                ended.set_result(WaitEnd(state))
+                ended.set_result(WaitOutcome(state))
--- a/src/gapdrum/zone_watch.py
+++ b/src/gapdrum/zone_watch.py
@@ -21,7 +21,7 @@
         self._log = log
         self._rows: set[str] = set()
 
-    def take_table(self, news: TableNews) -> None:
+    def apply_table(self, news: TableNews) -> None:
         """Take rows of the operators' table."""
         if news.is_whole:
             self._rows.clear()
--- a/tools/load_policies.py
+++ b/tools/load_policies.py
@@ -129,7 +129,7 @@
 @switch
 def refusing_at_once() -> Patches:
     """Refuse nothing on its arrival."""
-    return [mock.patch.object(admission, "DOUBT_FACTOR", NEVER)]
+    return [mock.patch.object(admission, "WAIT_TOLERANCE_FACTOR", NEVER)]
 
 
 @switch
@@ -239,8 +239,8 @@
 ALTERNATIVES.update(
     begin_by_30=_set(jobs, BEGIN_SHARE=0.3),
     begin_by_70=_set(jobs, BEGIN_SHARE=0.7),
-    doubt_100=_set(admission, DOUBT_FACTOR=1.0),
-    doubt_250=_set(admission, DOUBT_FACTOR=2.5),
+    doubt_100=_set(admission, WAIT_TOLERANCE_FACTOR=1.0),
+    doubt_250=_set(admission, WAIT_TOLERANCE_FACTOR=2.5),
     drained_served_2=_set(core_subsets, EXTRA_DRAINED_ENTRIES=2),
     candidates_2=_set(placement_rules, CANDIDATES=2),
     candidates_8=_set(placement_rules, CANDIDATES=8),
--- a/tools/load_replay.py
+++ b/tools/load_replay.py
@@ -28,10 +28,10 @@
 from gapdrum.core.run_bounds import RunBounds
 from gapdrum.core.runner_ledger import RunnerLedger
 from gapdrum.core.subsets import Candidate, choose_entries
-from gapdrum.entry.acceptance import first_record, job_of_queue
+from gapdrum.entry.acceptance import build_queue_job, initial_record
 from gapdrum.entry.admission import Admission
-from gapdrum.entry.demand import Demand
-from gapdrum.entry.queue_demand import TOLD_INTERVAL_MS, QueueDemandNotices
+from gapdrum.entry.queue_demand import QUEUE_DEMAND_INTERVAL_MS, QueueDemandPublisher
+from gapdrum.entry.room_demand import RoomDemandPublisher
 
 LATENCY_FACTOR = 1.6
 LATENCY_SLACK_MS = 60
@@ -153,9 +153,9 @@
             self.zone, self, lambda: True, now_ms, rng, fleet.load.far_factor
         )
         self.admission = Admission(self.dispatch.placer, self.timers)
-        self.demand = Demand(self, self.timers)
-        notices = QueueDemandNotices(self, self.dispatch.placer, self.timers)
-        self.timers.subscribe(TOLD_INTERVAL_MS, notices.tell)
+        self.demand = RoomDemandPublisher(self, self.timers)
+        notices = QueueDemandPublisher(self, self.dispatch.placer, self.timers)
+        self.timers.subscribe(QUEUE_DEMAND_INTERVAL_MS, notices.publish)
         self.timers.subscribe(TICK_INTERVAL_MS, self._tick)
 
     def join(self, agent: VirtualAgent) -> None:
@@ -232,7 +232,7 @@
 
     def _place_waiting(self) -> None:
         self.dispatch.placer.place_waiting(self.timers.now_ms())
-        self.demand.tell(self.dispatch.placer.demand)
+        self.demand.publish(self.dispatch.placer.demand)
 
     def _tick(self) -> None:
         now_ms = self.timers.now_ms()
@@ -257,12 +257,12 @@
         )
         room = Resources(given.cpu_milli, 10, 0)
         step = Step(len(given.work_ms), room, given.estimate_ms, data_rack=given.data_rack)
-        if self.admission.judge(queue, (step,)) is not None:
+        if self.admission.check_overload(queue, (step,)) is not None:
             self.fleet.callers.refuse(given.job_id, "refused")
             return
-        record = first_record(queue, "{}", (step,), self.name, 0)
+        record = initial_record(queue, "{}", (step,), self.name, 0)
         now_ms = self.timers.now_ms()
-        job = job_of_queue(given.job_id, record, 0, queue, now_ms, kept=False)
+        job = build_queue_job(given.job_id, record, 0, queue, now_ms, kept=False)
         self.dispatch.add_job(job, now_ms)
 
     def leave(self, job_id: str) -> None:
