--- a/features/steps/core_model.py
+++ b/features/steps/core_model.py
@@ -105,7 +105,7 @@
 
     def settle(self, open_job):
         self.scheduler.close(open_job)
-        if open_job.job.has_not_run and not self.model.close_claim(open_job.job.epoch):
+        if open_job.job.has_not_run_tasks and not self.model.close_claim(open_job.job.epoch):
             self.superseded = True
             return
         self.answer = open_job.job.answer(self.model.timers.now_ms())
@@ -238,9 +238,9 @@
         old = self.agents[name]
         self.agents[name] = self._new_agent(name)
         for entry in self.entries:
-            entry.scheduler.lose_agent(old.key, reasons.AGENT_GONE)
+            entry.scheduler.mark_agent_lost(old.key, reasons.AGENT_GONE)
             if entry.recovery is not None:
-                entry.recovery.give_up_on(old.key)
+                entry.recovery.mark_missing(old.key)
                 self._conclude(entry)
             self._join(entry, self.agents[name])
 
@@ -268,7 +268,7 @@
             if key in alive:
                 self.post(key, entry, Fence(job.job_id, job.epoch))
             else:
-                entry.recovery.give_up_on(key)
+                entry.recovery.mark_missing(key)
         self._conclude(entry)
 
     @rule(data=st.data())
@@ -278,7 +278,7 @@
         if recovering:
             entry = data.draw(st.sampled_from(recovering))
             for key in list(entry.recovery.awaited):
-                entry.recovery.give_up_on(key)
+                entry.recovery.mark_missing(key)
             self._conclude(entry)
 
     @rule()
@@ -286,7 +286,7 @@
         """Give up on one live agent that is silent; it may come back with results."""
         agent = self.agents[AGENTS[0]]
         for entry in self.entries:
-            entry.scheduler.lose_agent(agent.key, reasons.AGENT_SILENT)
+            entry.scheduler.mark_agent_lost(agent.key, reasons.AGENT_SILENT)
 
     @rule()
     def cancel(self):
@@ -359,7 +359,7 @@
         hello = AgentHello(key.agent_id, key.incarnation, "zone", "w", "t", now_ms)
         view, _ended = entry.scheduler.members.join(hello, now_ms)
         load = RunnerLoad("u", "ready", SLOTS, 0, 100, 0, now_ms, 0)
-        entry.scheduler.members.note_load(view, load, now_ms)
+        entry.scheduler.members.update_load(view, load, now_ms)
 
     def _deliver(self, target, key, entry, message):
         agent = self.agents[key.agent_id]
@@ -392,10 +392,10 @@
             self.post_back(agent, entry, held)
 
     def _deliver_to_entry(self, entry, key, message):
-        view = entry.scheduler.members.find_life(key)
+        view = entry.scheduler.members.find_incarnation(key)
         if isinstance(message, JobHoldings) and entry.recovery is not None:
             if message.epoch == entry.recovery.job.epoch:
-                entry.recovery.take(key, message)
+                entry.recovery.add_holdings(key, message)
                 self._conclude(entry)
             return
         if entry.answer is not None or entry.superseded or entry.recovery is not None:
@@ -413,7 +413,7 @@
         entry.recovery = None
         if not self.missing_counted:
             recovery.missing.clear()
-        waiting = recovery.conclude()
+        waiting = recovery.finalize_tasks()
         entry.open_job = OpenJob(recovery.job, frozenset(self.roster))
         entry.scheduler.resume(entry.open_job, waiting)
         if recovery.job.is_settled and entry.answer is None:
--- a/features/steps/crashing_task_steps.py
+++ b/features/steps/crashing_task_steps.py
@@ -28,7 +28,7 @@
     report = orders.RunnerReport(runner, "inspect-desk", orders.READY, (), 4_000, 4_000, 0)
     context.dispatch.apply_report(context.view, report, context.now_ms)
     context.dispatch.apply_room(context.view, orders.RoomReport(runner, 4_000, 4_000, 0, 0, 0))
-    context.dispatch.take_holdings(context.view, orders.Holdings(runner, (), ()), context.now_ms)
+    context.dispatch.apply_holdings(context.view, orders.Holdings(runner, (), ()), context.now_ms)
 
 
 @then("it has been started {count:d} times at most")
--- a/features/steps/platform_core_steps.py
+++ b/features/steps/platform_core_steps.py
@@ -275,7 +275,7 @@
 @when("the agent tells that it holds nothing")
 def hold_nothing(context):
     holdings = orders.Holdings("i-1", (), ())
-    context.dispatch.take_holdings(context.view, holdings, context.now_ms)
+    context.dispatch.apply_holdings(context.view, holdings, context.now_ms)
     context.dispatch.placer.place_waiting(context.now_ms)
 
 
@@ -330,7 +330,7 @@
     context.dispatch.apply_report(context.view, report, context.now_ms)
     context.dispatch.apply_room(context.view, orders.RoomReport("i-2", 0, 4_000, 0, 0, 0))
     holdings = orders.Holdings("i-2", (), ())
-    context.dispatch.take_holdings(context.view, holdings, context.now_ms)
+    context.dispatch.apply_holdings(context.view, holdings, context.now_ms)
     for number in range(count):
         # They wait for longer than the job behind them, and so are tried before it.
         add_job(context, 1, job_id=f"{number:016x}", upstream=upstream)
@@ -1363,7 +1363,7 @@
 def foreign_end_held(context):
     ended = orders.HeldRun(TASK.text, 1, 1, orders.HELD_ENDED, "done", 1)
     holdings = orders.Holdings("i-1", (), (ended,))
-    context.dispatch.take_holdings(context.view, holdings, context.now_ms)
+    context.dispatch.apply_holdings(context.view, holdings, context.now_ms)
 
 
 @then("the entry does not look the job up")
--- a/features/steps/policy_steps.py
+++ b/features/steps/policy_steps.py
@@ -4,20 +4,20 @@
 
 from behave import given, then, when
 
-from gapdrum.admission import Situation, find_refusal
+from gapdrum.admission import AdmissionInputs, find_refusal
 from gapdrum.claims import Owner
 from gapdrum.conversion import unstructure
-from gapdrum.ejection import note_outcome
+from gapdrum.ejection import record_outcome
 from gapdrum.hedging import find_stragglers
 from gapdrum.jobs import AgentKey, Job
 from gapdrum.leases import EntryRecord, LeaseTable
 from gapdrum.members import EJECTED, READY, RunnerView
 from gapdrum.models import Submission, TaskSpec
-from gapdrum.queues import ORDERS, FairQueue
+from gapdrum.queues import QUEUE_ORDERS, FairQueue
 from gapdrum.quotas import Quotas
 from gapdrum.runtimes import RunTimes
 from gapdrum.settings import SettingsHolder, SettingsTree
-from gapdrum.shares import Claimant, Shares
+from gapdrum.slot_allocation import SlotAllocator, SlotRequester
 from gapdrum.store import Row
 
 UPSTREAM = "inspect-desk"
@@ -93,14 +93,14 @@
     for kind, wait_ms in context.waits.items():
         job = Job(make_submission(kind=kind), 1, now_ms - wait_ms)
         queue.push(job, 0, context.expected[kind])
-    assert order in ORDERS
+    assert order in QUEUE_ORDERS
     assert queue.pop(set(), order, now_ms).job.submission.kind == name
 
 
 @given("{count:d} entries that hold {waiting:d} tasks each")
 def make_claimants(context, count, waiting):
-    context.claimants = [Claimant(waiting=waiting) for _ in range(count)]
-    context.shares = Shares(random.Random(SEED))
+    context.claimants = [SlotRequester(waiting=waiting) for _ in range(count)]
+    context.shares = SlotAllocator(random.Random(SEED))
     context.now_ms = 0
 
 
@@ -143,8 +143,8 @@
         settings = SettingsHolder()
         settings.offer(SettingsTree(1, {"": {"team_running_limit_tasks": limit}}))
         quotas = Quotas(settings)
-        quotas.note_demand("t", own)
-        quotas.note_peers([{"t": peer}])
+        quotas.record_demand("t", own)
+        quotas.update_peer_demands([{"t": peer}])
         context.quotas.append(quotas)
 
 
@@ -169,7 +169,7 @@
 def fail_all(context, count):
     for _ in range(count):
         for view in context.views:
-            note_outcome(view, True, 5, context.views)
+            record_outcome(view, True, 5, context.views)
 
 
 @then("{count:d} of them are ejected")
@@ -200,7 +200,7 @@
     views = [make_view(slots=slots)]
     settings = SettingsHolder()
     run_time = learned_run_times(run_ms).of(UPSTREAM, "")
-    context.situation = Situation(
+    context.situation = AdmissionInputs(
         views, views, queued, run_time, settings.root, Quotas(settings), False
     )
 
--- a/features/steps/refusal_steps.py
+++ b/features/steps/refusal_steps.py
@@ -380,7 +380,7 @@
 def send_slowly(connection):
     connection.data_received(head_of(WAITING_JOB))
     connection._listener.timers.time_ms += LIMITS["header_timeout_ms"] + 1
-    connection.check_time(connection._listener.timers.now_ms())
+    connection.enforce_timeouts(connection._listener.timers.now_ms())
 
 
 SENDERS = {
--- a/features/steps/resubmission_steps.py
+++ b/features/steps/resubmission_steps.py
@@ -25,7 +25,7 @@
 from gapdrum.core.run_bounds import RESTART_ALLOWANCE_MS
 from gapdrum.core.runner_models import RunnerSnapshot, RunningTask
 from gapdrum.event_log import EventLog
-from gapdrum.platform.boot import Boot, StoreLimits
+from gapdrum.platform.boot import BootSettings, StoreLimits
 from gapdrum.timers import Timers
 from gapdrum.transport.http_client import NoReplyError
 
@@ -141,11 +141,11 @@
     """Build a whole agent that is not started, with one runner and an entry that has joined."""
     context.timers = timers = ManualTimers()
     store = Endpoint("127.0.0.1", 1)
-    boot = Boot(
+    boot = BootSettings(
         instance="side-1", zone="plaine-nord", host="127.0.0.1", streams_port=1, store=store,
         store_limits=StoreLimits(800, 2_000, 65_536), run_lease_ms=1_000,
-        resubmit_ms=RESUBMIT_MS, shutdown_ms=6_000,
-        callers=None, readiness=None, runner_reports=None, runner=None, machine_list=None,
+        resubmit_ms=RESUBMIT_MS, shutdown_grace_ms=6_000,
+        callers=None, readiness=None, heartbeat_address=None, runner=None, machine_list=None,
     )  # fmt: skip
     log = EventLog("side-1", timers)
     context.agent = agent = Agent(boot, timers, log)
--- a/features/steps/run_ownership_steps.py
+++ b/features/steps/run_ownership_steps.py
@@ -482,7 +482,7 @@
     context.dispatch.apply_events(context.view, orders.RunEvents("i-1", (event,)), context.now_ms)
     join(context)
     held = orders.HeldRun(task, 1, 1, orders.HELD_ENDED, RunEnd.DONE.value)
-    context.dispatch.take_holdings(
+    context.dispatch.apply_holdings(
         context.view, orders.Holdings("i-1", (), (held,)), context.now_ms
     )
     context.outside.sent.clear()
@@ -538,7 +538,7 @@
     context.dispatch.apply_report(context.view, report, context.now_ms)
     context.dispatch.apply_room(context.view, orders.RoomReport("i-2", 600, 4_000, 0, 0, 0))
     holdings = orders.Holdings("i-2", (), ())
-    context.dispatch.take_holdings(context.view, holdings, context.now_ms)
+    context.dispatch.apply_holdings(context.view, holdings, context.now_ms)
     context.outside.sent.clear()
     event = orders.RunEvent(TASK.text, 1, 1, orders.NOT_STARTED, orders.RUNNER_REJECTED)
     context.dispatch.apply_events(context.view, orders.RunEvents("i-1", (event,)), context.now_ms)
--- a/features/steps/straggler_steps.py
+++ b/features/steps/straggler_steps.py
@@ -129,7 +129,7 @@
     for runner_id in ("i-1", "i-2"):
         tell_room(context, runner_id, 4_000)
         holdings = orders.Holdings(runner_id, (), ())
-        context.dispatch.take_holdings(context.view, holdings, context.now_ms)
+        context.dispatch.apply_holdings(context.view, holdings, context.now_ms)
     add_job(context, 1, step=Step(1, Resources(500, 10, 0), ESTIMATE_MS))
     (context.task,) = context.job.tasks
     context.here = context.task.place.runner_id
@@ -152,7 +152,7 @@
     tell_room(context, context.there, 4_000, there)
     usual = orders.Holdings("i-3", (), ())
     tell_room(context, "i-3", 0, there)
-    context.dispatch.take_holdings(context.view, usual, context.now_ms)
+    context.dispatch.apply_holdings(context.view, usual, context.now_ms)
 
 
 @given("tasks of its queue take up to {factor:d} times their estimates")
--- a/features/steps/submission_steps.py
+++ b/features/steps/submission_steps.py
@@ -93,7 +93,7 @@
         """Deliver messages of the agent to the owner."""
         takers = {
             orders.RunEvents: self.dispatch.apply_events,
-            orders.Holdings: self.dispatch.take_holdings,
+            orders.Holdings: self.dispatch.apply_holdings,
             orders.RunnerReport: self.dispatch.apply_report,
         }
         for message in told:
--- a/features/steps/subset_steps.py
+++ b/features/steps/subset_steps.py
@@ -458,7 +458,7 @@
         1_000,
     )
     fleet.apply_room(view, orders.RoomReport("runner-1", 9_000, 900, 0, 0, 0))
-    entry.dispatch.take_holdings(view, orders.Holdings("runner-1", (), ()), 1_000)
+    entry.dispatch.apply_holdings(view, orders.Holdings("runner-1", (), ()), 1_000)
     context.now_ms = 1_000
     new_job(context, 1)
     task = context.job.tasks[0]
--- a/features/steps/uneven_runner_steps.py
+++ b/features/steps/uneven_runner_steps.py
@@ -270,7 +270,7 @@
     context.dispatch.apply_report(context.view, report, NOW_MS)
     room = orders.RoomReport(name, free_cpu_milli, 8_000, 0, MANY_ORDERS, 0)
     context.dispatch.apply_room(context.view, room)
-    context.dispatch.take_holdings(context.view, orders.Holdings(name, (), ()), NOW_MS)
+    context.dispatch.apply_holdings(context.view, orders.Holdings(name, (), ()), NOW_MS)
 
 
 @given('an entry that sees one runner on "{rack}", far tasks taking {far:g} times as long')
--- a/features/steps/zone_drain_steps.py
+++ b/features/steps/zone_drain_steps.py
@@ -337,7 +337,7 @@
         )
         context.dispatch.apply_report(view, report, context.now_ms)
         context.dispatch.apply_room(view, orders.RoomReport(runner, 6_000, 4_000, 0, 0, 0))
-        context.dispatch.take_holdings(view, orders.Holdings(runner, (), ()), context.now_ms)
+        context.dispatch.apply_holdings(view, orders.Holdings(runner, (), ()), context.now_ms)
 
 
 @when('"{first}" and "{second}" are drained')
--- a/src/gapdrum/admission.py
+++ b/src/gapdrum/admission.py
@@ -14,7 +14,7 @@
 
 
 @attrs.frozen
-class Situation:
+class AdmissionInputs:
     """The figures that admission decides on, taken at one moment."""
 
     known: Sequence[RunnerView]
@@ -37,7 +37,7 @@
     figures: dict[str, int]
 
 
-Check = Callable[[Submission, Situation], Refusal | None]
+Check = Callable[[Submission, AdmissionInputs], Refusal | None]
 CHECKS: list[Check] = []
 
 
@@ -47,7 +47,7 @@
     return function
 
 
-def find_refusal(submission: Submission, situation: Situation) -> Refusal | None:
+def find_refusal(submission: Submission, situation: AdmissionInputs) -> Refusal | None:
     """Return the first refusal, None to admit the submission."""
     for function in CHECKS:
         refusal = function(submission, situation)
@@ -57,7 +57,7 @@
 
 
 @check
-def check_leaving(_submission: Submission, situation: Situation) -> Refusal | None:
+def check_leaving(_submission: Submission, situation: AdmissionInputs) -> Refusal | None:
     """Refuse while the entry shuts down; another entry takes the submission at once."""
     if not situation.leaving:
         return None
@@ -65,7 +65,7 @@
 
 
 @check
-def check_upstream(submission: Submission, situation: Situation) -> Refusal | None:
+def check_upstream(submission: Submission, situation: AdmissionInputs) -> Refusal | None:
     """Refuse an upstream that no runner has announced."""
     if situation.known:
         return None
@@ -75,7 +75,7 @@
 
 
 @check
-def check_fit(submission: Submission, situation: Situation) -> Refusal | None:
+def check_fit(submission: Submission, situation: AdmissionInputs) -> Refusal | None:
     """Refuse tasks that need more accelerators than any runner has, or more time than allowed."""
     most = max(view.accelerators for view in situation.known)
     if submission.accelerators > most:
@@ -91,7 +91,7 @@
 
 
 @check
-def check_ready(_submission: Submission, situation: Situation) -> Refusal | None:
+def check_ready(_submission: Submission, situation: AdmissionInputs) -> Refusal | None:
     """Refuse while no runner of the upstream takes work."""
     if situation.ready:
         return None
@@ -101,7 +101,7 @@
 
 
 @check
-def check_queue(submission: Submission, situation: Situation) -> Refusal | None:
+def check_queue(submission: Submission, situation: AdmissionInputs) -> Refusal | None:
     """Refuse what the entry's queue has no room for."""
     limit = situation.settings.queue_limit_tasks
     if situation.queued + len(submission.tasks) <= limit:
@@ -112,7 +112,7 @@
 
 
 @check
-def check_quota(submission: Submission, situation: Situation) -> Refusal | None:
+def check_quota(submission: Submission, situation: AdmissionInputs) -> Refusal | None:
     """Refuse what the team's rate limit can't start before the deadline."""
     tasks = len(submission.tasks)
     if situation.quotas.can_ever_start(submission.team, tasks, submission.deadline_ms):
@@ -122,7 +122,7 @@
 
 
 @check
-def check_deadline(submission: Submission, situation: Situation) -> Refusal | None:
+def check_deadline(submission: Submission, situation: AdmissionInputs) -> Refusal | None:
     """Refuse what would wait past its deadline behind the work already queued."""
     if not situation.run_time.is_learned:
         return None
@@ -136,7 +136,7 @@
     return Refusal(reasons.DEADLINE_UNMEETABLE, message, 503, retry_ms, figures)
 
 
-def estimate_wait_ms(tasks: int, situation: Situation) -> int:
+def estimate_wait_ms(tasks: int, situation: AdmissionInputs) -> int:
     """Return how long the last of so many tasks would wait for a slot."""
     slots = sum(view.slots for view in situation.ready)
     free = sum(max(0, view.free_slots) for view in situation.ready)
--- a/src/gapdrum/agent/program.py
+++ b/src/gapdrum/agent/program.py
@@ -23,7 +23,7 @@
 from gapdrum.core.runner_ledger import HeldOwner
 from gapdrum.event_log import EventLog, run_program, write_loop_errors
 from gapdrum.operator_feed import OperatorFeed
-from gapdrum.platform.boot import Boot, load_boot
+from gapdrum.platform.boot import BootSettings, load_boot_settings
 from gapdrum.platform.rows import RowStore
 from gapdrum.timers import Timers
 from gapdrum.transport.http_server import HttpLimits, HttpListener
@@ -39,7 +39,7 @@
 class Agent:
     """The parts of one agent process."""
 
-    def __init__(self, boot: Boot, timers: Timers, log: EventLog) -> None:
+    def __init__(self, boot: BootSettings, timers: Timers, log: EventLog) -> None:
         self.boot = boot
         self.timers = timers
         self.log = log
@@ -146,7 +146,7 @@
         self.log.write("started", role="agent", zone=self.boot.zone, life=self.incarnation)
         self.runners.start()
         self._background.keep(self.directory.follow)
-        address = self.boot.runner_reports
+        address = self.boot.heartbeat_address
         await self.control.open(address.host, address.port)
         await open_metrics(self.boot.host, self.log.measures, self.timers)
         self.timers.subscribe(orders.BEAT_INTERVAL_MS, self.links.beat)
@@ -169,14 +169,14 @@
         self.log.write("settings_signal", note="read again at the next start")
 
 
-def _seeds(boot: Boot) -> tuple[EntryAddress, ...]:
+def _seeds(boot: BootSettings) -> tuple[EntryAddress, ...]:
     """Return where the entries that the settings name take streams: at the same port on each."""
     return tuple(EntryAddress("", "", seed.host, boot.streams_port) for seed in boot.seeds)
 
 
 async def main() -> int:
     """Run the agent process."""
-    boot = load_boot()
+    boot = load_boot_settings()
     timers = Timers()
     log = EventLog(boot.instance, timers)
     log.open()
--- a/src/gapdrum/agent/runner_registry.py
+++ b/src/gapdrum/agent/runner_registry.py
@@ -11,7 +11,7 @@
 from gapdrum.core.room_shares import RoomShares
 from gapdrum.core.runner_models import Heartbeat
 from gapdrum.event_log import EventLog
-from gapdrum.platform.boot import Boot
+from gapdrum.platform.boot import BootSettings
 from gapdrum.platform.heartbeats import decode_heartbeat
 from gapdrum.platform.machine_list import find_listed_runner
 from gapdrum.platform.runner_calls import (
@@ -43,7 +43,7 @@
 
     def __init__(
         self,
-        boot: Boot,
+        boot: BootSettings,
         controllers: dict[str, RunnerController],
         grants: Grants,
         notifier: EntryNotifier,
--- a/src/gapdrum/agents.py
+++ b/src/gapdrum/agents.py
@@ -17,7 +17,7 @@
 from gapdrum.entrylinks import EntryLink, EntryLinks
 from gapdrum.exceptions import GapdrumError, InvalidInputError
 from gapdrum.http import HttpServer, Request, Response, Router
-from gapdrum.ledger import HeldTask, Ledger
+from gapdrum.ledger import AttemptRecord, Ledger
 from gapdrum.logs import set_up_logs
 from gapdrum.messages import (
     STATE_LEAVING,
@@ -129,7 +129,7 @@
             self.metrics.starts.inc()
             self._tasks.spawn(self._run(task))
 
-    async def _run(self, task: HeldTask) -> None:
+    async def _run(self, task: AttemptRecord) -> None:
         """Call the runner for one task in a thread and report what came of it."""
         loop = asyncio.get_running_loop()
         started_ms = self.timers.now_ms()
@@ -141,7 +141,7 @@
         self._report(task)
         self.links.load_changed()
 
-    def _call_runner(self, task: HeldTask) -> RunOutcome:
+    def _call_runner(self, task: AttemptRecord) -> RunOutcome:
         """Check the limit directly before the call; a process may have been paused."""
         if not self.ledger.may_start(task, self.timers.now_ms()):
             drained = self.ledger.zone_drained
@@ -155,7 +155,7 @@
         if epoch >= self.ledger.epoch_of(job_id):
             self.links.own(job_id, link)
 
-    def _report(self, task: HeldTask) -> None:
+    def _report(self, task: AttemptRecord) -> None:
         """Tell the job's owner; if its stream is gone it will inquire or fence later."""
         link = self.links.owner_of(task.job_id)
         if link is not None:
--- a/src/gapdrum/claims.py
+++ b/src/gapdrum/claims.py
@@ -49,7 +49,7 @@
     closed: bool = False
 
 
-class Stance(enum.Enum):
+class ClaimAction(enum.Enum):
     """What an entry is to do about a claim that it finds."""
 
     CONFLICT = "conflict"
@@ -57,19 +57,19 @@
     TAKE_OVER = "take_over"
 
 
-def decide_stance(
+def decide_claim_action(
     claim: Claim, body_hash: str | None, owner_alive: bool, me: Owner, known_here: bool
-) -> Stance:
+) -> ClaimAction:
     """Return the stance towards a claim; ``body_hash`` is None for a mere fetch.
 
     A claim of this very process that it does not know any more is taken over
     like a dead owner's, since it may have been forgotten after its retention.
     """
     if body_hash is not None and claim.body_hash != body_hash:
-        return Stance.CONFLICT
+        return ClaimAction.CONFLICT
     if claim.owner == me and not known_here:
-        return Stance.TAKE_OVER
-    return Stance.FOLLOW if owner_alive else Stance.TAKE_OVER
+        return ClaimAction.TAKE_OVER
+    return ClaimAction.FOLLOW if owner_alive else ClaimAction.TAKE_OVER
 
 
 def build_claim(
@@ -93,7 +93,7 @@
 
 
 @attrs.frozen
-class HeldClaim:
+class VersionedClaim:
     """A claim with the version of its row, for the next compare-and-set."""
 
     claim: Claim
@@ -106,7 +106,7 @@
     def __init__(self, committer: Committer) -> None:
         self._committer = committer
 
-    async def insert(self, claim: Claim, timeout_ms: int) -> HeldClaim:
+    async def insert(self, claim: Claim, timeout_ms: int) -> VersionedClaim:
         """Insert a claim if there is none; return it, or the one that is there.
 
         Raises StoreError if it certainly was not inserted and
@@ -114,17 +114,17 @@
         """
         return await self._write(claim, ABSENT, timeout_ms)
 
-    async def replace(self, held: HeldClaim, claim: Claim, timeout_ms: int) -> HeldClaim:
+    async def replace(self, held: VersionedClaim, claim: Claim, timeout_ms: int) -> VersionedClaim:
         """Replace a claim by compare-and-set; return the claim that stands after it."""
         return await self._write(claim, held.version, timeout_ms)
 
-    async def read(self, job_id: str) -> HeldClaim | None:
+    async def read(self, job_id: str) -> VersionedClaim | None:
         """Return the claim of a job, None if there is none; raises StoreError."""
         key = KEY_PREFIX + job_id
         row = (await self._committer.read([key]))[key]
         return _hold(row) if row is not None else None
 
-    async def _write(self, claim: Claim, expected_version: int, timeout_ms: int) -> HeldClaim:
+    async def _write(self, claim: Claim, expected_version: int, timeout_ms: int) -> VersionedClaim:
         key = KEY_PREFIX + claim.job_id
         write = TableWrite(key, expected_version, unstructure(claim), CLAIM_TTL_MS)
         try:
@@ -134,8 +134,8 @@
             if row is None:
                 return await self.insert(claim, timeout_ms)
             return _hold(row)
-        return HeldClaim(claim, expected_version + 1)
+        return VersionedClaim(claim, expected_version + 1)
 
 
-def _hold(row: Row) -> HeldClaim:
-    return HeldClaim(structure(row.value, Claim), row.version)
+def _hold(row: Row) -> VersionedClaim:
+    return VersionedClaim(structure(row.value, Claim), row.version)
--- a/src/gapdrum/core/dispatch.py
+++ b/src/gapdrum/core/dispatch.py
@@ -297,7 +297,7 @@
 
     # What agents hold.
 
-    def take_holdings(self, view: AgentView, holdings: orders.Holdings, now_ms: int) -> None:
+    def apply_holdings(self, view: AgentView, holdings: orders.Holdings, now_ms: int) -> None:
         """Compare what an agent holds with what is expected there."""
         place = Place(view.agent, holdings.runner_id)
         held = set()
--- a/src/gapdrum/dispatcher.py
+++ b/src/gapdrum/dispatcher.py
@@ -7,13 +7,13 @@
 import attrs
 
 from gapdrum import peers, reasons
-from gapdrum.admission import Refusal, Situation, find_refusal
+from gapdrum.admission import AdmissionInputs, Refusal, find_refusal
 from gapdrum.claims import (
     MAX_ROSTER,
     Claim,
     Claims,
-    HeldClaim,
     Owner,
+    VersionedClaim,
     build_claim,
 )
 from gapdrum.commits import Committer
@@ -27,7 +27,7 @@
     StoreError,
     StreamClosedError,
 )
-from gapdrum.jobs import OUT, AgentKey, Job
+from gapdrum.jobs import OUTSTANDING, AgentKey, Job
 from gapdrum.journal import Journal
 from gapdrum.leases import KEY_PREFIX, EntryRecord, LeaseTable
 from gapdrum.members import Members
@@ -35,7 +35,7 @@
 from gapdrum.metrics import Metrics
 from gapdrum.models import Answer, Progress, Submission
 from gapdrum.peers import Peers
-from gapdrum.recoveries import Recoveries
+from gapdrum.recovery_coordinator import RecoveryCoordinator
 from gapdrum.scheduler import OpenJob, Scheduler, Sender
 from gapdrum.settings import SettingsHolder
 from gapdrum.task_set import TaskSet
@@ -91,7 +91,7 @@
         self.leaving = False
         self._tracked: OrderedDict[str, Tracked] = OrderedDict()
         self._answered_tasks = 0
-        self.recoveries = Recoveries(self, send)
+        self.recoveries = RecoveryCoordinator(self, send)
         self._tasks = TaskSet()
 
     # -- callers ---------------------------------------------------------
@@ -158,25 +158,25 @@
 
     # -- agents ----------------------------------------------------------
 
-    def take_holdings(self, agent: AgentKey, holdings: JobHoldings) -> None:
+    def apply_holdings(self, agent: AgentKey, holdings: JobHoldings) -> None:
         """Take an agent's reply to Fence or Inquire."""
-        if self.recoveries.take(agent, holdings):
+        if self.recoveries.add_holdings(agent, holdings):
             return
         open_job = self.scheduler.open_jobs.get(holdings.job_id)
         if open_job is not None and holdings.epoch > open_job.job.epoch:
             self._supersede(open_job, holdings.epoch)
             return
-        view = self.members.find_life(agent)
+        view = self.members.find_incarnation(agent)
         for row in holdings.tasks if view is not None else ():
             if self._is_awaited(open_job, agent, row):
                 self.scheduler.report(view, holdings.job_id, holdings.epoch, row)
 
     def agent_gone(self, agent: AgentKey, reason: str) -> None:
         """Give up on an agent's life: its tasks and its part in recoveries."""
-        self.recoveries.give_up_on(agent)
-        self.scheduler.lose_agent(agent, reason)
+        self.recoveries.mark_missing(agent)
+        self.scheduler.mark_agent_lost(agent, reason)
 
-    def forget_answers(self) -> None:
+    def evict_answers(self) -> None:
         """Drop answers past their retention, and the oldest when there are too many.
 
         A dropped answer is found in the journal when it is asked for again.
@@ -206,10 +206,10 @@
         latency_ms = self.timers.now_ms() - started_ms
         self.metrics.claim_latency.observe(latency_ms / MS_PER_S)
         if held.claim != claim:
-            return await self.recoveries.meet(held, submission, tracked)
+            return await self.recoveries.resolve_claim(held, submission, tracked)
         self.note(submission.job_id, reasons.CLAIMED, claim_ms=latency_ms, roster=len(roster))
         job = Job(submission, 1, started_ms)
-        self.own(tracked, held, job)
+        self.adopt_job(tracked, held, job)
         self.scheduler.open(tracked.open_job, list(job.tasks))
         return None
 
@@ -225,9 +225,9 @@
         held = await self._read_claim(job_id)
         if held is None:
             raise NotFoundError("no such job")
-        return await self.recoveries.meet(held, submission, tracked)
+        return await self.recoveries.resolve_claim(held, submission, tracked)
 
-    def own(self, tracked: Tracked, held: HeldClaim, job: Job) -> None:
+    def adopt_job(self, tracked: Tracked, held: VersionedClaim, job: Job) -> None:
         """Become the owner of a claimed job, until it is answered or its deadline passes."""
         tracked.claim = held
         open_job = OpenJob(job, frozenset(held.claim.roster))
@@ -250,7 +250,7 @@
         """
         self.scheduler.close(open_job)
         tracked = self._tracked[open_job.job.job_id]
-        if open_job.job.has_not_run and not tracked.claim.claim.closed:
+        if open_job.job.has_not_run_tasks and not tracked.claim.claim.closed:
             self._tasks.spawn(self._close_claim(tracked, open_job))
             return
         self._answer(open_job)
@@ -264,7 +264,7 @@
                 raise StoreError("the store is unavailable")
             replaced = await self.claims.replace(held, closed, CLOSE_TIMEOUT_MS)
         except StoreError:
-            open_job.job.retract_not_run(reasons.STORE_UNSETTLED)
+            open_job.job.mark_not_run_unknown(reasons.STORE_UNSETTLED)
             self._answer(open_job)
             return
         if replaced.claim.epoch > closed.epoch:
@@ -308,7 +308,7 @@
         else:
             proven = held is None
         if held is not None:
-            return await self.recoveries.meet(held, submission, tracked)
+            return await self.recoveries.resolve_claim(held, submission, tracked)
         self.note(submission.job_id, refusal.code, not_run=int(proven), **refusal.figures)
         raise RefusedError(
             refusal.code,
@@ -318,7 +318,7 @@
             retry_after_ms=refusal.retry_after_ms,
         )
 
-    async def _claim(self, claim: Claim, timeout_ms: int) -> HeldClaim:
+    async def _claim(self, claim: Claim, timeout_ms: int) -> VersionedClaim:
         if self.committer.is_down:
             self._run_probe()
             raise self.store_refusal(claim.job_id, "the store is unavailable")
@@ -327,7 +327,7 @@
         except StoreError as error:
             raise self.store_refusal(claim.job_id, error.message) from error
 
-    async def _read_claim(self, job_id: str) -> HeldClaim | None:
+    async def _read_claim(self, job_id: str) -> VersionedClaim | None:
         try:
             return await self.claims.read(job_id)
         except StoreError as error:
@@ -391,11 +391,11 @@
         if not tracked.result.done():
             tracked.result.set_result(answer)
 
-    def _situation(self, submission: Submission) -> Situation:
+    def _situation(self, submission: Submission) -> AdmissionInputs:
         upstream = submission.upstream
-        return Situation(
+        return AdmissionInputs(
             self.members.of_upstream(upstream),
-            self.members.taking_work(upstream),
+            self.members.accepting_work(upstream),
             self.scheduler.queued(upstream),
             self.scheduler.run_times.of(upstream, submission.kind),
             self.settings.for_upstream(upstream),
@@ -405,7 +405,7 @@
 
     def _choose_roster(self, upstream: str) -> list[AgentKey]:
         """Return the agents that may be given tasks of a new job."""
-        views = self.members.taking_work(upstream)
+        views = self.members.accepting_work(upstream)
         if len(views) > MAX_ROSTER:
             views = self.scheduler.rng.sample(views, MAX_ROSTER)
         return [view.agent for view in views]
@@ -415,7 +415,7 @@
         if open_job is None or row.index >= len(open_job.job.tasks):
             return False
         attempt = open_job.job.tasks[row.index].find_attempt(agent, row.attempt)
-        return attempt is not None and attempt.state == OUT
+        return attempt is not None and attempt.state == OUTSTANDING
 
     async def _ask_decisions(self, record: EntryRecord, job_id: str) -> list[Decision]:
         try:
--- a/src/gapdrum/ejection.py
+++ b/src/gapdrum/ejection.py
@@ -9,7 +9,7 @@
 from gapdrum.members import EJECTED, PROBATION, Members, RunnerView
 from gapdrum.settings import SettingsHolder
 
-MIN_SHARE_LEFT = 0.5
+MAX_EJECTED_SHARE = 0.5
 
 
 @attrs.frozen
@@ -21,7 +21,7 @@
     failures_in_row: int
 
 
-def note_outcome(
+def record_outcome(
     view: RunnerView, failed: bool, limit: int, peers: list[RunnerView]
 ) -> EjectionChange | None:
     """Count a task outcome at a runner; eject it, or let it pass its probation.
@@ -45,7 +45,7 @@
 
 def _may_eject(peers: list[RunnerView]) -> bool:
     ejected = sum(view.state == EJECTED for view in peers)
-    return ejected + 1 <= len(peers) * MIN_SHARE_LEFT
+    return ejected + 1 <= len(peers) * MAX_EJECTED_SHARE
 
 
 class Ejector:
@@ -63,11 +63,11 @@
         self._decisions = decisions
         self._wall_ms = wall_ms
 
-    def judge(self, view: RunnerView, failed: bool, now_ms: int) -> None:
+    def observe_outcome(self, view: RunnerView, failed: bool, now_ms: int) -> None:
         """Take the outcome of a task that started at a runner."""
         limit = self._settings.for_upstream(view.upstream).eject_after_failures
         peers = self._members.of_upstream(view.upstream)
-        change = note_outcome(view, failed, limit, peers)
+        change = record_outcome(view, failed, limit, peers)
         if change is None:
             return
         view.ejected_at_ms = now_ms
--- a/src/gapdrum/entries.py
+++ b/src/gapdrum/entries.py
@@ -78,10 +78,10 @@
             (POLL_INTERVAL_MS, self.configurations.refresh),
             (HEARTBEAT_INTERVAL_MS, self.links.beat),
             (HEDGE_INTERVAL_MS, dispatcher.scheduler.hedge),
-            (PUMP_INTERVAL_MS, dispatcher.scheduler.pump_all),
+            (PUMP_INTERVAL_MS, dispatcher.scheduler.place_all_waiting),
             (PROBE_INTERVAL_MS, dispatcher.scheduler.probe_ejected),
             (FLUSH_INTERVAL_MS, dispatcher.journal.flush),
-            (FORGET_INTERVAL_MS, dispatcher.forget_answers),
+            (FORGET_INTERVAL_MS, dispatcher.evict_answers),
             (FORGET_INTERVAL_MS, self.update_gauges),
         )
         for interval_ms, duty in duties:
@@ -105,7 +105,7 @@
             return
         alive = self.dispatcher.leases.alive()
         peers = [record for record in alive if record.owner != self.owner]
-        self.dispatcher.scheduler.quotas.note_peers([record.demand for record in peers])
+        self.dispatcher.scheduler.quotas.update_peer_demands([record.demand for record in peers])
         writes_per_s = self.settings.root.store_writes_per_s
         self.committer.budget.rate_per_s = max(1, writes_per_s / (1 + len(peers)))
 
@@ -113,7 +113,7 @@
         """Push the settings that came into force to the agents."""
         logger.info("settings version {} in force", self.settings.version)
         self.metrics.settings_version.set(self.settings.version)
-        self.dispatcher.members.mark_drained(self._is_drained)
+        self.dispatcher.members.apply_drains(self._is_drained)
         self.links.push_settings()
 
     def update_gauges(self) -> None:
@@ -122,7 +122,7 @@
         upstreams = {view.upstream for view in self.dispatcher.members}
         self.metrics.queue_depth.set(sum(scheduler.queued(name) for name in upstreams))
         self.metrics.running.set(sum(scheduler.quotas.running().values()))
-        ready = sum(view.takes_work for view in self.dispatcher.members)
+        ready = sum(view.accepts_work for view in self.dispatcher.members)
         self.metrics.runners_ready.set(ready)
         self.metrics.open_jobs.set(len(scheduler.open_jobs))
         self.metrics.store_writes.set(self.committer.counts["writes"])
@@ -165,7 +165,7 @@
             self.state == "draining",
             self.settings.version,
             min(agents, default=self.settings.version),
-            self.dispatcher.scheduler.quotas.take_demand(),
+            self.dispatcher.scheduler.quotas.snapshot_demand(),
         )
 
 
--- a/src/gapdrum/entry/links.py
+++ b/src/gapdrum/entry/links.py
@@ -134,7 +134,7 @@
         elif isinstance(message, orders.RunnerReport):
             dispatch.apply_report(view, message, now_ms)
         elif isinstance(message, orders.Holdings):
-            dispatch.take_holdings(view, message, now_ms)
+            dispatch.apply_holdings(view, message, now_ms)
         elif isinstance(message, orders.JobLost):
             dispatch.drop_claimed_job(message)
         elif isinstance(message, orders.ZoneDrainsTold):
--- a/src/gapdrum/entry/program.py
+++ b/src/gapdrum/entry/program.py
@@ -34,7 +34,7 @@
 from gapdrum.event_log import EventLog, run_program, write_loop_errors
 from gapdrum.operator_feed import OperatorFeed
 from gapdrum.pauses import TICK_MS
-from gapdrum.platform.boot import Boot, load_boot
+from gapdrum.platform.boot import BootSettings, load_boot_settings
 from gapdrum.platform.rows import RowStore
 from gapdrum.timers import MS_PER_S, Timers
 from gapdrum.transport.http_messages import HttpRequest, HttpResponse, json_response
@@ -63,7 +63,7 @@
 class Entry:
     """The parts of one entry process."""
 
-    def __init__(self, boot: Boot, timers: Timers, log: EventLog) -> None:
+    def __init__(self, boot: BootSettings, timers: Timers, log: EventLog) -> None:
         self.boot = boot
         self.timers = timers
         self.log = log
@@ -302,8 +302,8 @@
         boot = self.boot
         await self.links.listen(boot.host, boot.streams_port)
         await self.readiness.open(boot.readiness.host, boot.readiness.port)
-        if boot.runner_reports is not None:
-            await self.control.open(boot.runner_reports.host, boot.runner_reports.port)
+        if boot.heartbeat_address is not None:
+            await self.control.open(boot.heartbeat_address.host, boot.heartbeat_address.port)
         self.background.keep(self.operators.follow)
         self.background.keep(self._keep_lease)
         await self.listener.open(boot.callers.host, boot.callers.port)
@@ -334,7 +334,7 @@
         began_ms = self.timers.now_ms()
         self.leaving = True
         self.log.write("stopping", open=len(self.dispatch.jobs))
-        end_ms = began_ms + self.boot.shutdown_ms
+        end_ms = began_ms + self.boot.shutdown_grace_ms
         answered_ms = end_ms - ANSWER_BEFORE_END_MS
         self.front.leave(PlannedShutdown(answered_ms, self.boot.resubmit_ms))
         self.listener.start_closing()
@@ -358,12 +358,12 @@
             await asyncio.sleep(BUSY_POLL_MS / MS_PER_S)
 
 
-def _advertised_port(boot: Boot) -> int:
+def _advertised_port(boot: BootSettings) -> int:
     """Return the port at which agents are to reach the streams."""
     return int(os.environ.get(ADVERTISED_PORT_VARIABLE, boot.streams_port))
 
 
-def _peers(boot: Boot) -> tuple[Endpoint, ...]:
+def _peers(boot: BootSettings) -> tuple[Endpoint, ...]:
     """Return where the other entries that the settings name take streams: at the same port."""
     hosts = {seed.host for seed in boot.seeds} - {boot.host}
     return tuple(Endpoint(host, boot.streams_port) for host in sorted(hosts))
@@ -371,7 +371,7 @@
 
 async def main() -> int:
     """Run the entry process."""
-    boot = load_boot()
+    boot = load_boot_settings()
     timers = Timers()
     log = EventLog(boot.instance, timers)
     log.open()
--- a/src/gapdrum/entrylinks.py
+++ b/src/gapdrum/entrylinks.py
@@ -17,7 +17,7 @@
     TaskReport,
 )
 from gapdrum.settings import dump_tree
-from gapdrum.shares import Claimant, Shares
+from gapdrum.slot_allocation import SlotAllocator, SlotRequester
 from gapdrum.store import StoreClient
 from gapdrum.streams import Stream, open_stream
 from gapdrum.task_set import TaskSet
@@ -39,7 +39,7 @@
         self.received = 0
         self.heard_at_ms = 0
         self.told_free = -1
-        self.claimant = Claimant()
+        self.claimant = SlotRequester()
 
     @property
     def is_open(self) -> bool:
@@ -70,7 +70,7 @@
         self._links: dict[tuple[str, str], EntryLink] = {}
         self._owners: dict[str, EntryLink] = {}
         self._leases = LeaseTable()
-        self._shares = Shares(random.Random())
+        self._shares = SlotAllocator(random.Random())
         self._read_at_ms = 0
         self._push_due: asyncio.TimerHandle | None = None
         self._threads = ThreadPoolExecutor(1, "discovery")
@@ -214,7 +214,7 @@
         if isinstance(message, EntryHello) and message.settings_version < settings.version:
             link.send(SettingsPush(settings.version, dump_tree(settings.tree)))
         elif isinstance(message, EntryHeartbeat):
-            self._shares.note_waiting(link.claimant, message.waiting)
+            self._shares.record_waiting(link.claimant, message.waiting)
             self.load_changed()
         elif not isinstance(message, EntryHello | EntryLeaving):
             self._agent.take(link, message)
--- a/src/gapdrum/hedging.py
+++ b/src/gapdrum/hedging.py
@@ -26,7 +26,7 @@
     """Yield the tasks that may be started once more and have run too long."""
     for job in jobs:
         submission = job.submission
-        if submission.starts_allowed < 2 or job.closed_to_placement:
+        if submission.starts_allowed < 2 or job.placement_closed_reason:
             continue
         run_time = run_times.of(submission.upstream, submission.kind)
         if not run_time.is_learned:
@@ -42,5 +42,5 @@
     """Return how long the only attempt out has run, 0 if another start is not allowed."""
     if task.state != PLACED or not task.may_place():
         return 0
-    out = task.out_attempts()
+    out = task.outstanding_attempts()
     return now_ms - out[0].placed_at_ms if len(out) == 1 else 0
--- a/src/gapdrum/jobs.py
+++ b/src/gapdrum/jobs.py
@@ -20,7 +20,7 @@
 NOT_RUN = "not_run"
 UNKNOWN = "unknown"
 
-OUT = "out"
+OUTSTANDING = "out"
 LOST = "lost"
 
 # Failures after which nobody can tell whether the runner did the work.
@@ -50,7 +50,7 @@
     number: int
     agent: AgentKey
     placed_at_ms: int
-    state: str = OUT
+    state: str = OUTSTANDING
     reason: str = ""
 
     @property
@@ -90,9 +90,9 @@
         self.state = CHART.next_state(self.state, event)
         self.reason = reason or self.reason
 
-    def out_attempts(self) -> list[Attempt]:
+    def outstanding_attempts(self) -> list[Attempt]:
         """Return the attempts whose outcome is still awaited."""
-        return [attempt for attempt in self.attempts if attempt.state == OUT]
+        return [attempt for attempt in self.attempts if attempt.state == OUTSTANDING]
 
     def find_attempt(self, agent: AgentKey, number: int) -> Attempt | None:
         """Return the attempt of this number at this agent."""
@@ -119,7 +119,7 @@
         self.created_at_ms = now_ms
         self.deadline_at_ms = now_ms + submission.deadline_ms
         self.reason = ""
-        self.closed_to_placement = ""
+        self.placement_closed_reason = ""
         allowed = submission.starts_allowed
         self.tasks = [Task(i, spec.payload, allowed) for i, spec in enumerate(submission.tasks)]
         self.unsettled = len(self.tasks)
@@ -130,11 +130,11 @@
         return self.unsettled == 0
 
     @property
-    def has_not_run(self) -> bool:
+    def has_not_run_tasks(self) -> bool:
         """Tell whether an answer would say of some task that it did not run."""
         return any(task.state == NOT_RUN for task in self.tasks)
 
-    def retract_not_run(self, reason: str) -> None:
+    def mark_not_run_unknown(self, reason: str) -> None:
         """Call unknown what can't be proven: another owner may have taken the job over."""
         for task in self.tasks:
             if task.state == NOT_RUN:
@@ -155,22 +155,22 @@
         """Take an agent's row; a duplicate changes nothing."""
         task = self.tasks[row.index] if row.index < len(self.tasks) else None
         attempt = task.find_attempt(agent, row.attempt) if task else None
-        if attempt is None or attempt.state not in (OUT, LOST):
+        if attempt is None or attempt.state not in (OUTSTANDING, LOST):
             return ReportEffect.NOTHING
         if row.state in (ledger.QUEUED, ledger.STARTED):
             return ReportEffect.NOTHING
-        effect = ReportEffect.ENDED if attempt.state == OUT else ReportEffect.LATE
+        effect = ReportEffect.ENDED if attempt.state == OUTSTANDING else ReportEffect.LATE
         attempt.reason = row.reason
         attempt.state = LOST if row.reason in AMBIGUOUS_REASONS else row.state
         if not task.is_final:
             self._advance(task, row)
         return effect
 
-    def lose_agent(self, agent: AgentKey, reason: str) -> list[Task]:
+    def mark_agent_lost(self, agent: AgentKey, reason: str) -> list[Task]:
         """Give up on all attempts out at an agent; return the tasks concerned."""
         concerned = []
         for task in self.tasks:
-            for attempt in task.out_attempts():
+            for attempt in task.outstanding_attempts():
                 if attempt.agent == agent:
                     attempt.state = LOST
                     attempt.reason = reason
@@ -178,23 +178,23 @@
                     self._reconsider(task, reason)
         return concerned
 
-    def out_at(self, agent: AgentKey) -> list[tuple[int, int]]:
+    def outstanding_at(self, agent: AgentKey) -> list[tuple[int, int]]:
         """Return index and number of each attempt awaited from an agent."""
         return [
             (task.index, attempt.number)
             for task in self.tasks
-            for attempt in task.out_attempts()
+            for attempt in task.outstanding_attempts()
             if attempt.agent == agent
         ]
 
-    def agents_out(self) -> list[AgentKey]:
+    def outstanding_agents(self) -> list[AgentKey]:
         """Return the agents that still hold attempts of the job, each once, in order."""
-        agents = (attempt.agent for task in self.tasks for attempt in task.out_attempts())
+        agents = (attempt.agent for task in self.tasks for attempt in task.outstanding_attempts())
         return list(dict.fromkeys(agents))
 
     def stop_placing(self, reason: str) -> None:
         """Give every waiting task its fate; what is out is still awaited."""
-        self.closed_to_placement = reason
+        self.placement_closed_reason = reason
         for task in self.tasks:
             if task.state == WAITING:
                 self.settle(task, reason)
@@ -211,7 +211,7 @@
         states = [attempt.state for attempt in task.attempts if attempt.may_have_started]
         if not states:
             self._finish(task, "give_up", reason)
-        elif LOST in states or OUT in states:
+        elif LOST in states or OUTSTANDING in states:
             self._finish(task, "lose", task.reason or reason)
         else:
             self._finish(task, "fail", task.reason or reason)
@@ -257,12 +257,12 @@
         if task.is_final:
             return
         task.reason = reason
-        if task.out_attempts():
+        if task.outstanding_attempts():
             return
-        if task.may_place() and not self.closed_to_placement:
+        if task.may_place() and not self.placement_closed_reason:
             task.apply("return", reason)
             return
-        self.settle(task, self.closed_to_placement or reason)
+        self.settle(task, self.placement_closed_reason or reason)
 
     def _finish(self, task: Task, event: str, reason: str) -> None:
         task.apply(event, reason)
--- a/src/gapdrum/ledger.py
+++ b/src/gapdrum/ledger.py
@@ -34,7 +34,7 @@
 
 
 @attrs.define
-class HeldTask:
+class AttemptRecord:
     """One attempt that this agent was told of, and what became of it."""
 
     job_id: str
@@ -57,14 +57,14 @@
 
 
 @attrs.define
-class HeldJob:
+class JobAttempts:
     """All attempts of one job, under the highest epoch seen for it."""
 
     job_id: str
     epoch: int
     start_by_ms: int
     keep_until_ms: int
-    tasks: dict[TaskKey, HeldTask] = attrs.Factory(dict)
+    tasks: dict[TaskKey, AttemptRecord] = attrs.Factory(dict)
 
     def holdings(self) -> JobHoldings:
         """Return all rows of the job as one message."""
@@ -89,8 +89,8 @@
         self.retention_ms = retention_ms
         self.leaving = False
         self.zone_drained = False
-        self._jobs: dict[str, HeldJob] = {}
-        self._queue: deque[HeldTask] = deque()
+        self._jobs: dict[str, JobAttempts] = {}
+        self._queue: deque[AttemptRecord] = deque()
         self._queued = 0
 
     @property
@@ -119,13 +119,13 @@
             key = TaskKey(placed.index, placed.attempt)
             known = job.tasks.get(key)
             if known is None:
-                known = HeldTask(order.job_id, key, placed.payload)
+                known = AttemptRecord(order.job_id, key, placed.payload)
                 self._admit(job, known, order, now_ms, free_slots)
             if known.state != QUEUED:
                 rows.append(known.row())
         return rows
 
-    def next_start(self, now_ms: int) -> tuple[HeldTask | None, list[HeldTask]]:
+    def next_start(self, now_ms: int) -> tuple[AttemptRecord | None, list[AttemptRecord]]:
         """Return the next attempt to start, marked as started, and those that lapsed."""
         lapsed = []
         while self._queue:
@@ -141,11 +141,13 @@
             return task, lapsed
         return None, lapsed
 
-    def may_start(self, task: HeldTask, now_ms: int) -> bool:
+    def may_start(self, task: AttemptRecord, now_ms: int) -> bool:
         """Check once more, directly before the runner is called."""
         return not self.zone_drained and now_ms <= self._jobs[task.job_id].start_by_ms
 
-    def finish(self, task: HeldTask, event: str, reason: str, result: str, run_ms: int) -> TaskRow:
+    def finish(
+        self, task: AttemptRecord, event: str, reason: str, result: str, run_ms: int
+    ) -> TaskRow:
         """Record the outcome of a started attempt and return its row."""
         task.apply(event)
         task.reason = reason
@@ -174,12 +176,12 @@
         job = self._job_for(order.job_id, order.epoch, 0, now_ms)
         for key in order.tasks:
             if key not in job.tasks:
-                task = HeldTask(order.job_id, key, "")
+                task = AttemptRecord(order.job_id, key, "")
                 job.tasks[key] = task
                 self._end(task, REASON_NEVER_RECEIVED)
         return job.holdings()
 
-    def decline_queue(self, reason: str) -> list[HeldTask]:
+    def decline_queue(self, reason: str) -> list[AttemptRecord]:
         """Decline all that waits, for a reason; return what was declined."""
         waiting = [task for task in self._queue if task.state == QUEUED]
         for task in waiting:
@@ -195,11 +197,11 @@
             del self._jobs[job.job_id]
         return len(expired)
 
-    def _job_for(self, job_id: str, epoch: int, start_by_ms: int, now_ms: int) -> HeldJob:
+    def _job_for(self, job_id: str, epoch: int, start_by_ms: int, now_ms: int) -> JobAttempts:
         """Return the job's record, with epoch and limits raised to those given."""
         job = self._jobs.get(job_id)
         if job is None:
-            job = HeldJob(job_id, epoch, start_by_ms, 0)
+            job = JobAttempts(job_id, epoch, start_by_ms, 0)
             self._jobs[job_id] = job
         if epoch > job.epoch:
             self._decline(job, tuple(job.tasks), REASON_FENCED)
@@ -209,7 +211,7 @@
         return job
 
     def _admit(
-        self, job: HeldJob, task: HeldTask, order: PlaceTasks, now_ms: int, free_slots: int
+        self, job: JobAttempts, task: AttemptRecord, order: PlaceTasks, now_ms: int, free_slots: int
     ) -> None:
         job.tasks[task.key] = task
         if order.epoch < job.epoch:
@@ -226,7 +228,7 @@
             self._queue.append(task)
             self._queued += 1
 
-    def _decline(self, job: HeldJob, keys: tuple[TaskKey, ...], reason: str) -> list[TaskRow]:
+    def _decline(self, job: JobAttempts, keys: tuple[TaskKey, ...], reason: str) -> list[TaskRow]:
         rows = []
         for key in keys:
             task = job.tasks.get(key)
@@ -237,12 +239,12 @@
         return rows
 
     @staticmethod
-    def _end(task: HeldTask, reason: str) -> None:
+    def _end(task: AttemptRecord, reason: str) -> None:
         task.apply("decline")
         task.reason = reason
         task.payload = ""
 
-    def _is_expired(self, job: HeldJob, now_ms: int) -> bool:
+    def _is_expired(self, job: JobAttempts, now_ms: int) -> bool:
         if now_ms <= job.keep_until_ms:
             return False
         return all(task.state in CHART.final for task in job.tasks.values())
--- a/src/gapdrum/links.py
+++ b/src/gapdrum/links.py
@@ -75,7 +75,7 @@
 
     def _beat_one(self, agent: AgentKey) -> None:
         dispatcher = self.dispatcher
-        view = dispatcher.members.find_life(agent)
+        view = dispatcher.members.find_incarnation(agent)
         waiting = dispatcher.scheduler.queued(view.upstream) if view is not None else 0
         try:
             self.send(agent, EntryHeartbeat(dispatcher.settings.version, waiting))
@@ -145,7 +145,7 @@
         dispatcher = self.dispatcher
         now_ms = dispatcher.timers.now_ms()
         if isinstance(message, TaskReport):
-            view.note_load(
+            view.update_load(
                 message.free_slots,
                 message.received,
                 message.agent_time_ms,
@@ -153,15 +153,15 @@
             )
             for row in message.task:
                 dispatcher.scheduler.report(view, message.job_id, message.epoch, row)
-            dispatcher.scheduler.pump(view.upstream)
+            dispatcher.scheduler.place_waiting(view.upstream)
         elif isinstance(message, RunnerLoad):
-            if dispatcher.members.note_load(view, message, now_ms):
+            if dispatcher.members.update_load(view, message, now_ms):
                 self._note(view.agent, f"runner_{view.state}")
-            dispatcher.scheduler.pump(view.upstream)
+            dispatcher.scheduler.place_waiting(view.upstream)
         elif isinstance(message, SettingsPush):
             self._take_settings(message)
         elif isinstance(message, JobHoldings):
-            dispatcher.take_holdings(view.agent, message)
+            dispatcher.apply_holdings(view.agent, message)
         else:
             raise FrameError(f"unexpected message {type(message).__name__}")
 
@@ -177,7 +177,7 @@
         agent = view.agent
         del self._streams[agent]
         self._heard_at_ms.pop(agent, None)
-        if dispatcher.members.find_life(agent) is not view:
+        if dispatcher.members.find_incarnation(agent) is not view:
             return
         view.apply("silent")
         self._note(agent, reasons.RUNNER_SILENT)
@@ -186,7 +186,7 @@
 
     def _give_up(self, view: RunnerView) -> None:
         dispatcher = self.dispatcher
-        if view.state != SILENT or dispatcher.members.find_life(view.agent) is not view:
+        if view.state != SILENT or dispatcher.members.find_incarnation(view.agent) is not view:
             return
         dispatcher.members.forget(view)
         dispatcher.agent_gone(view.agent, reasons.AGENT_SILENT)
--- a/src/gapdrum/members.py
+++ b/src/gapdrum/members.py
@@ -14,7 +14,7 @@
 EJECTED = "ejected"
 SILENT = "silent"
 LEAVING = "leaving"
-TAKES_WORK = frozenset({READY, PROBATION})
+ACCEPTING_STATES = frozenset({READY, PROBATION})
 
 
 @attrs.define(eq=False)
@@ -49,13 +49,13 @@
         return self.reported_free - (self.sent - self.received)
 
     @property
-    def takes_work(self) -> bool:
+    def accepts_work(self) -> bool:
         """Tell whether new work may be placed here."""
         if self.drained:
             return False
         if self.state == PROBATION:
             return self.outstanding == 0
-        return self.state in TAKES_WORK
+        return self.state in ACCEPTING_STATES
 
     def apply(self, event: str) -> bool:
         """Move along the chart; return whether the state changed."""
@@ -63,7 +63,7 @@
         self.state = CHART.next_state(before, event)
         return self.state != before
 
-    def note_load(self, free: int, received: int, time_ms: int, now_ms: int) -> None:
+    def update_load(self, free: int, received: int, time_ms: int, now_ms: int) -> None:
         """Take the agent's statement of its load and its clock."""
         self.reported_free = free
         self.received = max(self.received, received)
@@ -92,7 +92,7 @@
         self._any_drained = False
         self._is_drained: Callable[[str, str], bool] = lambda _agent_id, _zone: False
 
-    def mark_drained(self, is_drained: Callable[[str, str], bool]) -> None:
+    def apply_drains(self, is_drained: Callable[[str, str], bool]) -> None:
         """Take from the operators' settings which runners, by agent and zone, get no new work."""
         self._is_drained = is_drained
         for view in self._views.values():
@@ -106,7 +106,7 @@
         """Return the view of an agent's present or last life."""
         return self._views.get(agent_id)
 
-    def find_life(self, agent: AgentKey) -> RunnerView | None:
+    def find_incarnation(self, agent: AgentKey) -> RunnerView | None:
         """Return the view of exactly this life of an agent."""
         view = self._views.get(agent.agent_id)
         return view if view is not None and view.agent == agent else None
@@ -130,7 +130,7 @@
             self._drop_from_upstream(known)
         return view, known
 
-    def note_load(self, view: RunnerView, load: RunnerLoad, now_ms: int) -> bool:
+    def update_load(self, view: RunnerView, load: RunnerLoad, now_ms: int) -> bool:
         """Take a runner's load message; return whether its state changed."""
         if load.upstream != view.upstream:
             self._drop_from_upstream(view)
@@ -139,7 +139,7 @@
         view.slots = load.slots
         view.accelerators = load.accelerators
         view.settings_version = load.settings_version
-        view.note_load(load.free_slots, load.received, load.agent_time_ms, now_ms)
+        view.update_load(load.free_slots, load.received, load.agent_time_ms, now_ms)
         events = {"ready": "ready", "leaving": "leave", "absent": "absent"}
         event = events.get(load.state, "absent")
         return CHART.allows(view.state, event) and view.apply(event)
@@ -154,12 +154,12 @@
         """Return all runners that announced this upstream, whatever their state."""
         return self._by_upstream.get(upstream, [])
 
-    def taking_work(self, upstream: str, accelerators: int = 0) -> list[RunnerView]:
+    def accepting_work(self, upstream: str, accelerators: int = 0) -> list[RunnerView]:
         """Return the runners that may be given new work."""
         return [
             view
             for view in self.of_upstream(upstream)
-            if view.takes_work and view.accelerators >= accelerators
+            if view.accepts_work and view.accelerators >= accelerators
         ]
 
     def drained_zones(self, upstream: str) -> list[str]:
--- a/src/gapdrum/platform/boot.py
+++ b/src/gapdrum/platform/boot.py
@@ -23,7 +23,7 @@
 
 
 @attrs.frozen
-class Boot:
+class BootSettings:
     """What a process learns from its settings file."""
 
     instance: str
@@ -34,33 +34,33 @@
     store_limits: StoreLimits
     run_lease_ms: int
     resubmit_ms: int
-    shutdown_ms: int
+    shutdown_grace_ms: int
     callers: Endpoint | None
     readiness: Endpoint | None
-    runner_reports: Endpoint | None
+    heartbeat_address: Endpoint | None
     runner: Endpoint | None
     machine_list: Endpoint | None
     seeds: tuple[Endpoint, ...] = ()
     far_factor: float = 1.0
 
 
-def load_boot(path: str | None = None) -> Boot:
+def load_boot_settings(path: str | None = None) -> BootSettings:
     """Read the settings file; raises OSError, or ValueError if a field is missing or wrong."""
     source = Path(path or os.environ[SETTINGS_VARIABLE])
     with source.open("rb") as file:
         document = tomllib.load(file)
     try:
-        return decode_boot(document)
+        return decode_boot_settings(document)
     except (LookupError, TypeError, AttributeError, OverflowError) as error:
         raise ValueError(f"{source}: field missing or wrong: {error}") from error
 
 
-def decode_boot(document: dict[str, Any]) -> Boot:
+def decode_boot_settings(document: dict[str, Any]) -> BootSettings:
     """Return the settings from the parsed file; raises KeyError or ValueError."""
     listen = document.get("listen", {})
     bounds = document["bounds"]
     platform = document["platform"]
-    return Boot(
+    return BootSettings(
         instance=document["node_name"],
         zone=document["zone"],
         host=document["ip"],
@@ -77,11 +77,11 @@
         # ``retransmit_ms`` is how soon a caller that waits sends its job again.
         resubmit_ms=int(bounds.get("retransmit_ms", DEFAULT_RESUBMIT_MS)),
         # ``grace_s`` is the time from SIGTERM to SIGKILL.
-        shutdown_ms=int(bounds["grace_s"] * 1000),
+        shutdown_grace_ms=int(bounds["grace_s"] * 1000),
         callers=_optional(listen.get("front")),
         readiness=_optional(listen.get("ready")),
         # ``control`` is where the runner on the same machine sends its heartbeats.
-        runner_reports=_optional(listen.get("control")),
+        heartbeat_address=_optional(listen.get("control")),
         # ``app`` is the address of the runner on the same machine.
         runner=_optional(document.get("app")),
         # ``cloud_api`` lists the machines of the runners.
--- a/src/gapdrum/queues.py
+++ b/src/gapdrum/queues.py
@@ -38,14 +38,14 @@
 
 
 Order = Callable[[Iterable[RunTimeClass], int], RunTimeClass]
-ORDERS: dict[str, Order] = {}
+QUEUE_ORDERS: dict[str, Order] = {}
 
 
 def order(name: str) -> Callable[[Order], Order]:
     """Register an order under the name that the setting ``queue_order`` gives."""
 
     def register(function: Order) -> Order:
-        ORDERS[name] = function
+        QUEUE_ORDERS[name] = function
         return function
 
     return register
@@ -118,7 +118,7 @@
         self._drop_settled(classes)
         if not classes:
             return None
-        entry = ORDERS[order_name](classes.values(), now_ms)
+        entry = QUEUE_ORDERS[order_name](classes.values(), now_ms)
         self.length -= 1
         return entry.tasks.popleft()
 
@@ -142,4 +142,4 @@
 
 def _is_waiting(queued: QueuedTask) -> bool:
     job = queued.job
-    return job.tasks[queued.index].state == WAITING and not job.closed_to_placement
+    return job.tasks[queued.index].state == WAITING and not job.placement_closed_reason
--- a/src/gapdrum/quotas.py
+++ b/src/gapdrum/quotas.py
@@ -25,17 +25,17 @@
         self._peer_demand: Counter[str] = Counter()
         self._live_entries = 1
 
-    def note_demand(self, team: str, tasks: int) -> None:
+    def record_demand(self, team: str, tasks: int) -> None:
         """Count tasks that a team asked to run at this entry."""
         self._demand[team] += tasks
 
-    def take_demand(self) -> dict[str, int]:
+    def snapshot_demand(self) -> dict[str, int]:
         """Return this entry's demand for its lease row, halving it so that it ages."""
         stated = {team: count for team, count in self._demand.items() if count}
         self._demand = Counter({team: count // 2 for team, count in stated.items()})
         return stated
 
-    def note_peers(self, demands: list[dict[str, int]]) -> None:
+    def update_peer_demands(self, demands: list[dict[str, int]]) -> None:
         """Take the demand that the other live entries stated."""
         self._live_entries = 1 + len(demands)
         self._peer_demand = Counter()
--- a/src/gapdrum/recovery.py
+++ b/src/gapdrum/recovery.py
@@ -27,7 +27,7 @@
         """Tell whether every agent of the roster has been heard or given up on."""
         return not self.awaited
 
-    def take(self, agent: AgentKey, holdings: JobHoldings) -> None:
+    def add_holdings(self, agent: AgentKey, holdings: JobHoldings) -> None:
         """Take one agent's holdings into the job."""
         if agent not in self.awaited:
             return
@@ -36,17 +36,17 @@
             if row.index < len(self.job.tasks):
                 _take_row(self.job, self.job.tasks[row.index], agent, row)
 
-    def give_up_on(self, agent: AgentKey) -> None:
+    def mark_missing(self, agent: AgentKey) -> None:
         """Note that an agent's knowledge is gone."""
         if agent in self.awaited:
             self.awaited.discard(agent)
             self.missing.add(agent)
 
-    def conclude(self) -> list[Task]:
+    def finalize_tasks(self) -> list[Task]:
         """Give each task its state; return those that are to be placed again."""
         to_place = []
         for task in self.job.tasks:
-            if task.is_final or task.out_attempts():
+            if task.is_final or task.outstanding_attempts():
                 continue
             if self.missing:
                 _assume_hidden_starts(task)
@@ -55,7 +55,7 @@
                 continue
             self.job.settle(task, reasons.TAKEN_OVER)
         if not self.may_place:
-            self.job.closed_to_placement = reasons.TAKEN_OVER
+            self.job.placement_closed_reason = reasons.TAKEN_OVER
         return to_place
 
 
--- a/src/gapdrum/recoveries.py
+++ b/src/gapdrum/recovery_coordinator.py
@@ -10,7 +10,7 @@
 import attrs
 
 from gapdrum import peers, reasons
-from gapdrum.claims import Claim, HeldClaim, Stance, decide_stance
+from gapdrum.claims import Claim, ClaimAction, VersionedClaim, decide_claim_action
 from gapdrum.conversion import structure
 from gapdrum.exceptions import KeyConflictError, RefusedError, StoreError, StreamClosedError
 from gapdrum.jobs import AgentKey, Job
@@ -28,7 +28,7 @@
 CLOCK_MARGIN_MS = 5_000
 
 
-class Recoveries:
+class RecoveryCoordinator:
     """The recoveries that run at an entry, and what its dispatcher asks of other owners.
 
     ``core`` is the dispatcher, whose claims, leases, scheduler and peers it uses.
@@ -39,35 +39,35 @@
         self._send = send
         self._running: dict[str, tuple[Recovery, asyncio.Event]] = {}
 
-    def take(self, agent: AgentKey, holdings: JobHoldings) -> bool:
+    def add_holdings(self, agent: AgentKey, holdings: JobHoldings) -> bool:
         """Take an agent's holdings if a recovery waits for them; return whether one did."""
         waiting = self._running.get(holdings.job_id)
         if waiting is None or holdings.epoch != waiting[0].job.epoch:
             return False
         recovery, done = waiting
-        recovery.take(agent, holdings)
+        recovery.add_holdings(agent, holdings)
         if recovery.is_complete:
             done.set()
         return True
 
-    def give_up_on(self, agent: AgentKey) -> None:
+    def mark_missing(self, agent: AgentKey) -> None:
         """Note in all recoveries that an agent's life is over."""
         for recovery, done in self._running.values():
-            recovery.give_up_on(agent)
+            recovery.mark_missing(agent)
             if recovery.is_complete:
                 done.set()
 
-    async def meet(
-        self, held: HeldClaim, submission: Submission | None, tracked: Tracked
+    async def resolve_claim(
+        self, held: VersionedClaim, submission: Submission | None, tracked: Tracked
     ) -> Answer | None:
         """Deal with a claim of another owner, or of an earlier time of this one."""
         claim = held.claim
         record = await self._find_owner(claim)
         body_hash = submission.body_hash if submission else None
-        stance = decide_stance(claim, body_hash, record is not None, self._core.owner, False)
-        if stance is Stance.CONFLICT:
+        stance = decide_claim_action(claim, body_hash, record is not None, self._core.owner, False)
+        if stance is ClaimAction.CONFLICT:
             raise KeyConflictError("the key was used before with another body")
-        if stance is Stance.FOLLOW:
+        if stance is ClaimAction.FOLLOW:
             answer = await self._follow(claim, record)
             if answer is not None:
                 return answer
@@ -110,7 +110,7 @@
         return structure(json.loads(document), Answer) if document else None
 
     async def _take_over(
-        self, held: HeldClaim, submission: Submission | None, tracked: Tracked
+        self, held: VersionedClaim, submission: Submission | None, tracked: Tracked
     ) -> Answer | None:
         """Recover a job whose owner is gone: its journalled answer, or its agents' records."""
         claim = held.claim
@@ -120,7 +120,7 @@
         raised = attrs.evolve(claim, owner=self._core.owner, epoch=claim.epoch + 1)
         replaced = await self._replace(held, raised)
         if replaced.claim != raised:
-            return await self.meet(replaced, submission, tracked)
+            return await self.resolve_claim(replaced, submission, tracked)
         left_ms = claim.deadline_wall_ms - self._core.timers.wall_ms()
         self._core.note(
             claim.job_id, reasons.TOOK_OVER, epoch=raised.epoch, left_ms=max(0, left_ms)
@@ -131,7 +131,9 @@
         await self._recover(tracked, replaced, job, may_place)
         return None
 
-    async def _recover(self, tracked: Tracked, held: HeldClaim, job: Job, may_place: bool) -> None:
+    async def _recover(
+        self, tracked: Tracked, held: VersionedClaim, job: Job, may_place: bool
+    ) -> None:
         """Fence the roster, gather what it holds, and go on with the job."""
         recovery = Recovery(job, held.claim.roster, may_place)
         done = asyncio.Event()
@@ -143,10 +145,10 @@
                 await asyncio.wait_for(done.wait(), RECOVERY_TIMEOUT_MS / MS_PER_S)
         except TimeoutError:
             for agent in list(recovery.awaited):
-                recovery.give_up_on(agent)
+                recovery.mark_missing(agent)
         finally:
             del self._running[job.job_id]
-        waiting = recovery.conclude()
+        waiting = recovery.finalize_tasks()
         self._core.note(
             job.job_id,
             reasons.TAKEN_OVER,
@@ -154,22 +156,22 @@
             agents_missing=len(recovery.missing),
             to_place=len(waiting),
         )
-        self._core.own(tracked, held, job)
+        self._core.adopt_job(tracked, held, job)
         self._core.scheduler.resume(tracked.open_job, waiting)
         if job.is_settled:
             self._core.on_settled(tracked.open_job)
 
     def _fence(self, recovery: Recovery, agent: AgentKey) -> None:
-        view = self._core.members.find_life(agent)
+        view = self._core.members.find_incarnation(agent)
         if view is None or view.state == SILENT:
-            recovery.give_up_on(agent)
+            recovery.mark_missing(agent)
             return
         try:
             self._send(agent, Fence(recovery.job.job_id, recovery.job.epoch))
         except StreamClosedError:
-            recovery.give_up_on(agent)
+            recovery.mark_missing(agent)
 
-    async def _replace(self, held: HeldClaim, claim: Claim) -> HeldClaim:
+    async def _replace(self, held: VersionedClaim, claim: Claim) -> VersionedClaim:
         try:
             return await self._core.claims.replace(
                 held, claim, self._core.settings.root.claim_timeout_ms
--- a/src/gapdrum/scheduler.py
+++ b/src/gapdrum/scheduler.py
@@ -101,10 +101,10 @@
         """Take a claimed job, queue its waiting tasks and place what can be."""
         job = open_job.job
         self.open_jobs[job.job_id] = open_job
-        self.quotas.note_demand(job.submission.team, len(waiting))
+        self.quotas.record_demand(job.submission.team, len(waiting))
         for task in waiting:
             self._enqueue(job, task.index)
-        self.pump(job.submission.upstream)
+        self.place_waiting(job.submission.upstream)
 
     def resume(self, open_job: OpenJob, waiting: list[Task]) -> None:
         """Take a recovered job, some of whose tasks run already.
@@ -114,21 +114,21 @@
         """
         job = open_job.job
         for task in job.tasks:
-            for attempt in task.out_attempts():
+            for attempt in task.outstanding_attempts():
                 self._note_started(job, attempt.agent)
         self.open(open_job, waiting)
-        for agent in job.agents_out():
+        for agent in job.outstanding_agents():
             self._inquire(job, agent)
 
     def close(self, open_job: OpenJob) -> None:
         """Stop work on a job: take back what its agents still hold."""
         job = open_job.job
         self.open_jobs.pop(job.job_id, None)
-        job.closed_to_placement = job.closed_to_placement or reasons.SUPERSEDED
-        for agent in job.agents_out():
+        job.placement_closed_reason = job.placement_closed_reason or reasons.SUPERSEDED
+        for agent in job.outstanding_agents():
             self._try_send(agent, Withdraw(job.job_id, job.epoch, ()))
         for task in job.tasks:
-            for attempt in task.out_attempts():
+            for attempt in task.outstanding_attempts():
                 self._note_ended(job, attempt.agent)
 
     def cancel(self, open_job: OpenJob) -> None:
@@ -136,16 +136,16 @@
         job = open_job.job
         job.reason = reasons.CANCELLED
         job.stop_placing(reasons.CANCELLED)
-        for agent in job.agents_out():
+        for agent in job.outstanding_agents():
             self._try_send(agent, Withdraw(job.job_id, job.epoch, ()))
         self._settle_if_done(open_job)
 
-    def pump(self, upstream: str) -> None:
+    def place_waiting(self, upstream: str) -> None:
         """Place waiting tasks while there are runners for them."""
         queue = self._queues.get(upstream)
         if queue is None or not queue.length and not self._told_waiting.get(upstream, (0, 0))[0]:
             return
-        runners = self.members.taking_work(upstream)
+        runners = self.members.accepting_work(upstream)
         blocked: set[str] = set()
         batches: dict[tuple[str, AgentKey], _Batch] = {}
         order = self.settings.for_upstream(upstream).queue_order
@@ -175,16 +175,16 @@
             return
         self._settle_if_done(open_job)
 
-    def lose_agent(self, agent: AgentKey, reason: str) -> None:
+    def mark_agent_lost(self, agent: AgentKey, reason: str) -> None:
         """Give up on all that an agent holds: its life is over or it stays silent."""
         for open_job in list(self.open_jobs.values()):
-            concerned = open_job.job.lose_agent(agent, reason)
+            concerned = open_job.job.mark_agent_lost(agent, reason)
             for task in concerned:
                 self._note_ended(open_job.job, agent)
                 self._follow_up(open_job.job, task, reason, started=True)
             if concerned:
                 self._settle_if_done(open_job)
-        self.pump_all()
+        self.place_all_waiting()
 
     def inquire(self, agent: AgentKey) -> None:
         """Ask a reconnected agent after all attempts that are awaited from it."""
@@ -202,17 +202,17 @@
     def probe_ejected(self) -> None:
         """Put ejected runners whose time is over on probation."""
         if self._ejector.probe(self.timers.now_ms()):
-            self.pump_all()
+            self.place_all_waiting()
 
     def _inquire(self, job: Job, agent: AgentKey) -> None:
-        keys = [TaskKey(index, number) for index, number in job.out_at(agent)]
+        keys = [TaskKey(index, number) for index, number in job.outstanding_at(agent)]
         if keys:
             self._try_send(agent, Inquire(job.job_id, job.epoch, keys))
 
-    def pump_all(self) -> None:
+    def place_all_waiting(self) -> None:
         """Place what can be at every upstream; called at times, as limits refill with time."""
         for upstream in list(self._queues):
-            self.pump(upstream)
+            self.place_waiting(upstream)
 
     def _enqueue(self, job: Job, index: int, front: bool = False) -> None:
         submission = job.submission
@@ -235,7 +235,7 @@
             view
             for view in runners
             if view.agent in roster
-            and view.takes_work
+            and view.accepts_work
             and view.accelerators >= submission.accelerators
         ]
         tried = {attempt.agent for attempt in task.attempts if attempt.may_have_started}
@@ -318,7 +318,7 @@
         if effect is ReportEffect.ENDED:
             self._note_ended(job, view.agent)
         if row.state != ledger.NEVER_STARTED:
-            self._ejector.judge(view, row.state == ledger.FAILED, self.timers.now_ms())
+            self._ejector.observe_outcome(view, row.state == ledger.FAILED, self.timers.now_ms())
         if row.reason == ledger.REASON_QUEUE_FULL:
             self.metrics.wasted["PlaceTasks"] += 1
             self.metrics.wasted["TaskReport"] += 1
@@ -351,13 +351,13 @@
             self._on_settled(open_job)
 
     def _note_started(self, job: Job, agent: AgentKey) -> None:
-        view = self.members.find_life(agent)
+        view = self.members.find_incarnation(agent)
         if view is not None:
             view.outstanding += 1
         self.quotas.started(job.submission.team)
 
     def _note_ended(self, job: Job, agent: AgentKey) -> None:
-        view = self.members.find_life(agent)
+        view = self.members.find_incarnation(agent)
         if view is not None:
             view.outstanding -= 1
         self.quotas.ended(job.submission.team)
@@ -365,7 +365,7 @@
     def _hedge_one(self, straggler: Straggler) -> None:
         job, task = straggler.job, straggler.task
         busy = {attempt.agent for attempt in task.attempts}
-        runners = self.members.taking_work(job.submission.upstream)
+        runners = self.members.accepting_work(job.submission.upstream)
         free = [view for view in runners if view.agent not in busy and view.free_slots > 0]
         view = self._choose(job, task, free)
         if view is None or task.state != PLACED or not self._hedges.spend():
--- a/src/gapdrum/settings.py
+++ b/src/gapdrum/settings.py
@@ -111,7 +111,7 @@
 
 def _check_value(name: str, value: object, place: str) -> list[Finding]:
     from gapdrum.placement import POLICIES
-    from gapdrum.queues import ORDERS
+    from gapdrum.queues import QUEUE_ORDERS
 
     try:
         Settings(**{name: value})
@@ -119,7 +119,7 @@
         return [Finding(place, str(error.args[0]))]
     registries = {
         "placement": sorted(POLICIES),
-        "queue_order": sorted(ORDERS),
+        "queue_order": sorted(QUEUE_ORDERS),
         "runner_mode": MODES,
         "zone_mode": MODES,
     }
--- a/src/gapdrum/shares.py
+++ b/src/gapdrum/slot_allocation.py
@@ -15,7 +15,7 @@
 
 
 @attrs.define(eq=False)
-class Claimant:
+class SlotRequester:
     """An entry as the sharing sees it: what waits there and what it was offered."""
 
     waiting: int = 0
@@ -23,7 +23,7 @@
     offered_at_ms: int = 0
 
 
-class Shares:
+class SlotAllocator:
     """Splits free slots between the claimants.
 
     ::
@@ -35,7 +35,7 @@
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
 
-    def allocate(self, claimants: list[Claimant], free_slots: int, now_ms: int) -> None:
+    def allocate(self, claimants: list[SlotRequester], free_slots: int, now_ms: int) -> None:
         """Withdraw offers that were not taken up, and offer what is free."""
         for claimant in claimants:
             self._expire(claimant, now_ms)
@@ -51,7 +51,7 @@
             left -= 1
 
     @staticmethod
-    def free_for(claimant: Claimant, claimants: list[Claimant], free_slots: int) -> int:
+    def free_for(claimant: SlotRequester, claimants: list[SlotRequester], free_slots: int) -> int:
         """Return the free slots to state to one entry."""
         wanted = sum(entry.waiting for entry in claimants)
         if wanted == 0:
@@ -61,26 +61,26 @@
         return max(0, free_slots - wanted)
 
     @staticmethod
-    def take(claimant: Claimant, orders: int) -> None:
+    def take(claimant: SlotRequester, orders: int) -> None:
         """Note that orders came in: they use up offers and what waited."""
         claimant.offered = max(0, claimant.offered - orders)
         claimant.waiting = max(0, claimant.waiting - orders)
 
     @staticmethod
-    def note_waiting(claimant: Claimant, waiting: int) -> None:
+    def record_waiting(claimant: SlotRequester, waiting: int) -> None:
         """Take an entry's statement of how many tasks it holds."""
         claimant.waiting = waiting
         claimant.offered = min(claimant.offered, waiting)
 
     @staticmethod
-    def _expire(claimant: Claimant, now_ms: int) -> None:
+    def _expire(claimant: SlotRequester, now_ms: int) -> None:
         """Take an entry that left an offer unused to have nothing waiting any more."""
         if claimant.offered and now_ms - claimant.offered_at_ms > OFFER_TTL_MS:
             claimant.offered = 0
             claimant.waiting = 0
 
     @staticmethod
-    def _withdraw(claimants: list[Claimant], excess: int) -> None:
+    def _withdraw(claimants: list[SlotRequester], excess: int) -> None:
         """Take back offers that are no longer covered by free slots."""
         for claimant in claimants:
             if excess <= 0:
--- a/src/gapdrum/tracking.py
+++ b/src/gapdrum/tracking.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from gapdrum.claims import HeldClaim
+from gapdrum.claims import VersionedClaim
 from gapdrum.scheduler import OpenJob
 
 
@@ -17,7 +17,7 @@
     body_hash: str | None
     result: asyncio.Future
     open_job: OpenJob | None = None
-    claim: HeldClaim | None = None
+    claim: VersionedClaim | None = None
     kept_since_ms: int = 0
     answered_tasks: int = 0
     deadline: asyncio.TimerHandle | None = None
--- a/src/gapdrum/transport/http_server.py
+++ b/src/gapdrum/transport/http_server.py
@@ -75,7 +75,7 @@
     def _sweep(self) -> None:
         now_ms = self.timers.now_ms()
         for connection in list(self.connections):
-            connection.check_time(now_ms)
+            connection.enforce_timeouts(now_ms)
 
 
 class _Connection(asyncio.Protocol):
@@ -230,7 +230,7 @@
         self._transport.write(json_response(status, {"code": code}).encode(False))
         asyncio.get_running_loop().call_later(DISCARD_S, self._transport.close)
 
-    def check_time(self, now_ms: int) -> None:
+    def enforce_timeouts(self, now_ms: int) -> None:
         """End the connection if its sender is too slow or has been idle for too long."""
         limits = self._listener.limits
         if self._refused or self._transport.is_closing():
--- a/tools/load_replay.py
+++ b/tools/load_replay.py
@@ -179,7 +179,7 @@
         elif isinstance(message, orders.RunnerReport):
             self.dispatch.apply_report(view, message, now_ms)
         elif isinstance(message, orders.Holdings):
-            self.dispatch.take_holdings(view, message, now_ms)
+            self.dispatch.apply_holdings(view, message, now_ms)
 
     # What decisions lead to.
 
