--- a/features/steps/lost_answer_steps.py
+++ b/features/steps/lost_answer_steps.py
@@ -182,7 +182,7 @@
 
 def add_run(context, number, begin_ms, end_ms):
     key = context.runner.run(number, begin_ms, end_ms)
-    run = Run(key, OWNER, 1, ROOM, 0, begin_ms, phase=orders.HELD_RUNNING, kept=False)
+    run = Run(key, OWNER, 1, ROOM, 0, begin_ms, phase=orders.HELD_RUNNING, durable=False)
     context.controller.ledger.begin(run)
     return key
 
--- a/features/steps/platform_core_steps.py
+++ b/features/steps/platform_core_steps.py
@@ -292,7 +292,7 @@
     failures=3,
     epoch=1,
     unknown_deadline_ms=0,
-    kept=True,
+    durable=True,
     job_id=JOB,
     step=None,
     upstream="inspect-desk",
@@ -304,7 +304,7 @@
         record,
         7,
         context.now_ms,
-        kept=kept,
+        durable=durable,
         failures_allowed=failures,
         priority=0,
         latency_factor=1.6,
@@ -360,12 +360,12 @@
 
 @given("a job of {tasks:d} tasks whose caller waits")
 def new_waiting_job(context, tasks):
-    add_job(context, tasks, kept=False)
+    add_job(context, tasks, durable=False)
 
 
 @when("another job of {tasks:d} tasks whose caller waits")
 def other_waiting_job(context, tasks):
-    add_job(context, tasks, kept=False, job_id=OTHER_JOB)
+    add_job(context, tasks, durable=False, job_id=OTHER_JOB)
 
 
 @when("{time_ms:d} ms pass")
@@ -444,16 +444,16 @@
 
 @when("the end of an unknown job is told, whose caller waited")
 def unknown_end_unkept(context):
-    tell_unknown_end(context, kept=False)
+    tell_unknown_end(context, durable=False)
 
 
 @when("the end of an unknown job is told, which is stored")
 def unknown_end_kept(context):
-    tell_unknown_end(context, kept=True)
+    tell_unknown_end(context, durable=True)
 
 
-def tell_unknown_end(context, kept):
-    event = orders.RunEvent(TASK.text, 1, 1, orders.ENDED, "done", 1, kept=kept)
+def tell_unknown_end(context, durable):
+    event = orders.RunEvent(TASK.text, 1, 1, orders.ENDED, "done", 1, durable=durable)
     message = orders.RunEvents("i-1", (event,))
     context.dispatch.apply_events(context.view, message, context.now_ms)
 
@@ -941,7 +941,7 @@
             data_rack=row["rack"],
             runner_limit=1,
         )
-        add_job(context, 1, step=step, kept=False)
+        add_job(context, 1, step=step, durable=False)
         task = context.job.tasks[0]
         task.avoided = set(row["avoids"].split())
         field = build_pool(context.runners, "inspect-desk")
@@ -964,7 +964,7 @@
             record,
             0,
             accepted_ms,
-            kept=False,
+            durable=False,
             failures_allowed=1,
             priority=int(row["priority"]),
             latency_factor=1.6,
@@ -1005,7 +1005,7 @@
     context.now_ms = 1_000
     context.outside = Effects()
     context.dispatch = build_dispatch("plaine-nord", context.outside, lambda: True, 0)
-    add_job(context, 1, kept=False)
+    add_job(context, 1, durable=False)
     task = context.job.tasks[0]
     chosen = {
         choose_runner(context.job, task, field, "plaine-nord", 1_000, random.Random(seed)).place
@@ -1204,7 +1204,7 @@
 @then("the second entry learns at its next renewal that it lost its lease")
 def lease_lost(context):
     lost = []
-    context.second.on_answer_lost = lambda: lost.append(True)
+    context.second.on_lease_lost = lambda: lost.append(True)
     asyncio.run(context.second.keep())
     assert lost
     assert not context.second.valid
--- a/features/steps/run_bounds_steps.py
+++ b/features/steps/run_bounds_steps.py
@@ -18,9 +18,9 @@
     context.resubmit_ms, context.lease_ms = resubmit_ms, lease_ms
 
 
-def over_ms(context, kept):
+def over_ms(context, durable):
     """Return when a run is over at the latest after its owner's last word, in real time."""
-    lease_duration_ms = context.bounds.lease_duration_ms(kept)
+    lease_duration_ms = context.bounds.lease_duration_ms(durable)
     lease_ms = context.bounds.lease_ms(context.lease_ms)
     return lease_duration_ms - lease_ms + lease_ms / CLOCK_RATE_FLOOR + RUNNER_STOP_MS
 
--- a/features/steps/run_ownership_steps.py
+++ b/features/steps/run_ownership_steps.py
@@ -258,7 +258,7 @@
 
 @then("work for a waiting caller may begin at all")
 def may_begin(context):
-    assert context.bounds.grant_ms(kept=False) > 0, context.bounds.grant_ms(kept=False)
+    assert context.bounds.grant_ms(durable=False) > 0, context.bounds.grant_ms(durable=False)
 
 
 OTHER_RUN = RunKey(TaskName("00000000000000f9", 0, 0, 0), 1)
@@ -478,7 +478,7 @@
     (order,) = (m for m in context.outside.sent if isinstance(m, orders.StartOrder))
     done, context.other = (order.key_of(row) for row in order.runs)
     task, kind = done.task.text, orders.ENDED
-    event = orders.RunEvent(task, 1, 1, kind, RunEnd.DONE.value, 1, kept=False)
+    event = orders.RunEvent(task, 1, 1, kind, RunEnd.DONE.value, 1, durable=False)
     context.dispatch.apply_events(context.view, orders.RunEvents("i-1", (event,)), context.now_ms)
     join(context)
     held = orders.HeldRun(task, 1, 1, orders.HELD_ENDED, RunEnd.DONE.value)
--- a/features/steps/silence_steps.py
+++ b/features/steps/silence_steps.py
@@ -162,8 +162,8 @@
 @then("the stream is cut, while the entry's grant still lasts")
 def stream_cut(context):
     assert context.link.stream.closed
-    for kept in (False, True):
-        assert context.timers.now_ms() < context.grants.until_ms(OWNER, kept)
+    for durable in (False, True):
+        assert context.timers.now_ms() < context.grants.until_ms(OWNER, durable)
 
 
 @then("the stream is not cut")
--- a/features/steps/submission_steps.py
+++ b/features/steps/submission_steps.py
@@ -276,7 +276,7 @@
     context.tasks = pair.dispatch.jobs[JOB].tasks
     name, attempt = context.tasks[0].name.text, context.tasks[0].attempt
     rejected = orders.RunEvent(
-        name, attempt, 1, orders.NOT_STARTED, orders.RUNNER_REJECTED, kept=False
+        name, attempt, 1, orders.NOT_STARTED, orders.RUNNER_REJECTED, durable=False
     )
     found = orders.HeldRun(name, attempt, 0, orders.HELD_ENDED, end, 7)
     pair.deliver([orders.RunEvents("i-1", (rejected,))])
--- a/features/steps/uneven_runner_steps.py
+++ b/features/steps/uneven_runner_steps.py
@@ -192,7 +192,7 @@
     context.outside = Effects()
     context.dispatch = build_dispatch(ZONE, context.outside, lambda: True, 0)
     step = Step(1, ROOM, work_ms, data_rack=rack)
-    add_job(context, 1, step=step, kept=False)
+    add_job(context, 1, step=step, durable=False)
     return context.job, context.job.tasks[0]
 
 
@@ -292,7 +292,7 @@
 
 @when('a task of {work:d} ms with data on "{rack}" is late for its rack and goes there')
 def goes_far(context, work, rack):
-    add_job(context, 1, step=Step(1, ROOM, work, data_rack=rack), kept=False)
+    add_job(context, 1, step=Step(1, ROOM, work, data_rack=rack), durable=False)
 
 
 def starts(context):
@@ -309,8 +309,8 @@
 def submit_many(context, count, work, rack):
     step = Step(1, ROOM, work, data_rack=rack)
     for number in range(count):
-        add_job(context, 1, step=step, kept=False, job_id=f"{number:016x}")
-    add_job(context, 1, step=attrs.evolve(step, data_rack=""), kept=False)
+        add_job(context, 1, step=step, durable=False, job_id=f"{number:016x}")
+    add_job(context, 1, step=attrs.evolve(step, data_rack=""), durable=False)
 
 
 @then("the one without data is ordered")
@@ -329,13 +329,13 @@
     for number in range(count):
         context.now_ms = NOW_MS
         step = Step(1, ROOM, work)
-        add_job(context, 1, step=step, kept=False, job_id=f"{number:016x}")
+        add_job(context, 1, step=step, durable=False, job_id=f"{number:016x}")
         task = context.job.tasks[0].name.text
         for kind, detail, now_ms in (
             (orders.STARTED, "", NOW_MS),
             (orders.ENDED, RunEnd.DONE.value, NOW_MS + ran),
         ):
-            event = orders.RunEvent(task, 1, 1, kind, detail, kept=False)
+            event = orders.RunEvent(task, 1, 1, kind, detail, durable=False)
             events = orders.RunEvents("i-1", (event,))
             context.dispatch.apply_events(context.view, events, now_ms)
         add_runner(context, "i-1", "rack-2", 8_000)
--- a/src/gapdrum/agent/entry_links.py
+++ b/src/gapdrum/agent/entry_links.py
@@ -215,7 +215,7 @@
     def _is_stray(self, held: HeldOwner, now_ms: int) -> bool:
         if held.owner == UNKNOWN_OWNER:
             return True
-        return held.kept and self._is_away(held.owner, now_ms)
+        return held.durable and self._is_away(held.owner, now_ms)
 
     def _is_away(self, owner: str, now_ms: int) -> bool:
         """Tell whether an owner has probably died: its stream has been down for too long.
--- a/src/gapdrum/agent/entry_orders.py
+++ b/src/gapdrum/agent/entry_orders.py
@@ -72,7 +72,7 @@
 
     def _take_order(self, link: EntryLink, order: orders.StartOrder) -> None:
         link.orders += len(order.runs)
-        self._grants.note(link.owner, order.clock_ms, order.kept)
+        self._grants.note(link.owner, order.clock_ms, order.durable)
         controller = self._keepers.get(order.runner_id)
         if self._epochs.get(order.job_id, 0) > order.epoch:
             refused = self._refuse_all(order, orders.JOB_SUPERSEDED)
@@ -155,7 +155,7 @@
             event = controller.ledger.event_for_adopter(key, row.submission)
             if event is None:
                 controller.ledger.adopt(
-                    key, link.owner, row.epoch, row.kept, row.room, row.submission
+                    key, link.owner, row.epoch, row.durable, row.room, row.submission
                 )
             else:
                 missed.append(event)
@@ -195,19 +195,19 @@
         The former name's last word counts for the new one, which has echoed nothing yet: without
         it all of that would be stopped at once.
         """
-        last_echo_ms = self._grants.last_echo_ms(former, kept=False)
+        last_echo_ms = self._grants.last_echo_ms(former, durable=False)
         if last_echo_ms is not None:
             self._grants.note(owner, last_echo_ms, lease_held=False)
         for controller in self._keepers.values():
             for run in controller.ledger.runs.values():
-                if run.owner == former and not run.kept:
+                if run.owner == former and not run.durable:
                     run.owner = owner
 
     def stop_nondurable_runs(self, owner: str) -> None:
         """Stop what runs for callers that waited at a life of an entry that is gone."""
         for controller in self._keepers.values():
             for run in list(controller.ledger.runs.values()):
-                if run.owner == owner and not run.kept:
+                if run.owner == owner and not run.durable:
                     self._log.write(
                         "run_stopped_for_owner",
                         request=run.key.task.job_id,
--- a/src/gapdrum/agent/grants.py
+++ b/src/gapdrum/agent/grants.py
@@ -30,31 +30,31 @@
     def _note_one(self, key: tuple[str, bool], clock_ms: int) -> None:
         self._echoed[key] = max(self._echoed.get(key, 0), clock_ms)
 
-    def until_ms(self, owner: str, kept: bool) -> int:
+    def until_ms(self, owner: str, durable: bool) -> int:
         """Return until when the agent may act for an owner, 0 if it never was granted."""
-        last_echo_ms = self.last_echo_ms(owner, kept)
-        return last_echo_ms + self._bounds.grant_ms(kept) if last_echo_ms is not None else 0
+        last_echo_ms = self.last_echo_ms(owner, durable)
+        return last_echo_ms + self._bounds.grant_ms(durable) if last_echo_ms is not None else 0
 
-    def last_echo_ms(self, owner: str, kept: bool) -> int | None:
+    def last_echo_ms(self, owner: str, durable: bool) -> int | None:
         """Return the last clock that an owner has echoed, None if it never did."""
-        return self._echoed.get((owner, kept))
+        return self._echoed.get((owner, durable))
 
-    def lease_deadline_ms(self, owner: str, kept: bool) -> int:
+    def lease_deadline_ms(self, owner: str, durable: bool) -> int:
         """Return when the lease of what runs for an owner must have ended at the latest."""
-        return self.until_ms(owner, kept) + STOP_ALLOWANCE_MS
+        return self.until_ms(owner, durable) + STOP_ALLOWANCE_MS
 
     def stop_due_ms(self, run: Run) -> int:
         """Return when a run must be stopped, unless its owner is heard before."""
         last_echo_ms = self._word_for(run)
         if last_echo_ms is None:
             return run.since_ms + RESTART_ALLOWANCE_MS
-        return last_echo_ms + self._bounds.grant_ms(run.kept)
+        return last_echo_ms + self._bounds.grant_ms(run.durable)
 
     def lease_limit_ms(self, run: Run) -> int:
         """Return when the lease of a run must have ended, 0 if it must not be renewed at all."""
         last_echo_ms = self._word_for(run)
         return (
-            last_echo_ms + self._bounds.lease_duration_ms(run.kept)
+            last_echo_ms + self._bounds.lease_duration_ms(run.durable)
             if last_echo_ms is not None
             else 0
         )
@@ -62,7 +62,7 @@
     def require_claim(self, run: Run) -> None:
         """Let no later word of a run's owner count for it, until the owner claims it anew."""
         if run.claimed:
-            run.last_echo_ms = self.last_echo_ms(run.owner, run.kept)
+            run.last_echo_ms = self.last_echo_ms(run.owner, run.durable)
             run.claimed = False
 
     def silent_ms(self, run: Run, now_ms: int) -> int | None:
@@ -72,4 +72,4 @@
 
     def _word_for(self, run: Run) -> int | None:
         """Return the last word that counts for a run: none of a stream where it isn't claimed."""
-        return self.last_echo_ms(run.owner, run.kept) if run.claimed else run.last_echo_ms
+        return self.last_echo_ms(run.owner, run.durable) if run.claimed else run.last_echo_ms
--- a/src/gapdrum/agent/run_launcher.py
+++ b/src/gapdrum/agent/run_launcher.py
@@ -56,9 +56,9 @@
             return orders.ZONE_CLOSED
         if now_ms - order.clock_ms > orders.ORDER_VALID_MS:
             return orders.ORDER_EXPIRED
-        if now_ms >= self._context.grants.until_ms(owner, order.kept):
+        if now_ms >= self._context.grants.until_ms(owner, order.durable):
             return orders.ORDER_EXPIRED
-        if self._context.lease_exceeds_grant(owner, order.kept, now_ms):
+        if self._context.lease_exceeds_grant(owner, order.durable, now_ms):
             return orders.ORDER_EXPIRED
         free = self._context.free_for(owner, now_ms)
         if not free.holds(row.room):
@@ -71,7 +71,7 @@
         self, owner: str, order: orders.StartOrder, row: orders.OrderedRun, now_ms: int
     ) -> None:
         # The start also renews the lease of all, so it is bound by the same limits.
-        limit_ms = self._context.grants.lease_deadline_ms(owner, order.kept) - now_ms
+        limit_ms = self._context.grants.lease_deadline_ms(owner, order.durable) - now_ms
         left_ms = max(1, min(START_EXPIRY_MS, self._context.allowed_lease_ms(now_ms), limit_ms))
         expires_ms = self._context.extend_lease(left_ms)
         run = Run(
@@ -81,7 +81,7 @@
             row.room,
             expires_ms,
             now_ms,
-            kept=order.kept,
+            durable=order.durable,
             calling=True,
             estimate_ms=row.estimate_ms,
             queue=order.queue,
@@ -191,7 +191,7 @@
             now_ms = self._context.timers.now_ms()
             if not run.stopping:
                 run.stopping_ms = now_ms
-                if not run.kept:
+                if not run.durable:
                     # Its caller submits it again, whether the stop takes effect or not.
                     self._context.grants.require_claim(run)
             self._send_stop(key, now_ms)
--- a/src/gapdrum/agent/runner_context.py
+++ b/src/gapdrum/agent/runner_context.py
@@ -108,12 +108,12 @@
         """Return the longest lease that is asked for."""
         return self.grants.bounds.lease_ms(self.run_lease_ms)
 
-    def lease_exceeds_grant(self, owner: str, kept: bool, now_ms: int) -> bool:
+    def lease_exceeds_grant(self, owner: str, durable: bool, now_ms: int) -> bool:
         """Tell whether the lease that is there may last for longer than an owner's word allows.
 
         A run that started now could not be ended in time but by a stop, which may be lost.
         """
-        allowed_ms = self.grants.lease_deadline_ms(owner, kept) - now_ms
+        allowed_ms = self.grants.lease_deadline_ms(owner, durable) - now_ms
         return (
             self.latest_lease_end_ms > self.ledger.clock_floor(self.timers.awake_ms()) + allowed_ms
         )
--- a/src/gapdrum/core/dispatch.py
+++ b/src/gapdrum/core/dispatch.py
@@ -127,7 +127,7 @@
         name = TaskName.parse(event.task)
         job = self.jobs.get(name.job_id)
         if job is None:
-            if event.kind == orders.ENDED and event.kept:
+            if event.kind == orders.ENDED and event.durable:
                 self.effects.on_unowned_end(place, event)
             return
         task = job.by_name.get(name)
@@ -170,7 +170,7 @@
             reason=event.detail,
             runner=place.runner_id,
         )
-        if event.kind == orders.ENDED and event.kept:
+        if event.kind == orders.ENDED and event.durable:
             self.effects.on_unowned_end(place, event)
 
     def drop_claimed_job(self, lost: orders.JobLost) -> None:
@@ -213,7 +213,7 @@
             ran_ms=now_ms - task.started_ms if task.started_ms else 0,
         )
         if event.attempt != task.attempt and end is RunEnd.DONE:
-            if job.kept:
+            if job.durable:
                 self._let_go_outrun(place, event.end_number)
                 return
             self._stop_if_out(task)
@@ -226,7 +226,7 @@
             if end is RunEnd.FAILED:
                 task.avoided.add(place.runner_id)
             job.record_end(task, event.attempt, end, now_ms)
-        if job.kept and end in (RunEnd.DONE, RunEnd.FAILED):
+        if job.durable and end in (RunEnd.DONE, RunEnd.FAILED):
             self._remember_end(job, StoredEnd(place, event.end_number))
             job.progress_dirty_ms = job.progress_dirty_ms or now_ms
         if job.has_waiting_tasks:
@@ -420,7 +420,7 @@
         row.task,
         row.attempt,
         job.epoch,
-        job.kept,
+        job.durable,
         room.cpu_milli,
         room.memory_mb,
         room.accelerators,
@@ -436,7 +436,7 @@
     rng: random.Random | None = None,
     far_factor: float = 1.0,
 ) -> Dispatch:
-    """Return an owner without jobs; ``holds_lease`` tells whether the lease in the store is held."""
+    """Return an owner without jobs; ``holds_lease`` tells whether it holds its lease in the store."""
     jobs: dict[str, Job] = {}
     fleet = Fleet(effects)
     rng = rng or random.Random()
--- a/src/gapdrum/core/jobs.py
+++ b/src/gapdrum/core/jobs.py
@@ -53,9 +53,9 @@
 class Task:
     """One task of a job; ``attempt`` is the number of its last start.
 
-    ``place_by_attempt`` tells where each attempt was ordered or adopted, and ``slowness`` how many times
-    as long as usual the last one was expected to take there, 0 if not known. ``incarnation_by_attempt`` tells
-    in which life of its agent each attempt was ordered.
+    ``place_by_attempt`` tells where each attempt was ordered or adopted, and ``slowness`` how many
+    times as long as usual the last one was expected to take there, 0 if not known.
+    ``incarnation_by_attempt`` tells in which life of its agent each attempt was ordered.
     """
 
     name: TaskName
@@ -87,7 +87,7 @@
 class Job:
     """An open job that this entry owns.
 
-    ``chain_ms`` is the stated work of its longest chain of steps. One that is ``kept`` has a
+    ``chain_ms`` is the stated work of its longest chain of steps. One that is ``durable`` has a
     row in the store, at ``version``, and another entry takes it over if this one is lost. Of
     others only the caller knows, who waits for the end, and may submit the job again: each time
     has a ``submission`` of its own.
@@ -100,7 +100,7 @@
     owner: str
     epoch: int
     version: int
-    kept: bool
+    durable: bool
     accepted_wall_ms: int
     accepted_ms: int
     failures_allowed: int
@@ -171,7 +171,7 @@
         submission, so a run of an earlier one may have the same name, also at the same place. An
         agent does not know the submission (0) of what was ordered before its present life.
         """
-        if self.kept:
+        if self.durable:
             return True
         if task.place_by_attempt.get(attempt) != place:
             return False
@@ -260,7 +260,7 @@
     version: int,
     now_ms: int,
     *,
-    kept: bool,
+    durable: bool,
     failures_allowed: int,
     priority: int,
     latency_factor: float,
@@ -282,7 +282,7 @@
         owner=record.owner,
         epoch=record.epoch,
         version=version,
-        kept=kept,
+        durable=durable,
         accepted_wall_ms=record.accepted_wall_ms,
         accepted_ms=now_ms,
         failures_allowed=failures_allowed,
--- a/src/gapdrum/core/orders.py
+++ b/src/gapdrum/core/orders.py
@@ -142,7 +142,7 @@
     """What happened to a run; ``detail`` is how it ended, why it did not start, or straggles.
 
     ``end_number`` is the runner's number of the end. Nobody needs to store an end of a job that
-    is not ``kept``. Of a straggling run ``percent`` is how much of its work is done; it has run
+    is not ``durable``. Of a straggling run ``percent`` is how much of its work is done; it has run
     for ``ran_ms``, will end after ``left_ms`` at its pace, and has stood still for ``stalled_ms``.
     ``others_permille`` is how long the others beside it take against their estimates. What is
     not known is 0, and so is ``submission`` for a stored job.
@@ -155,7 +155,7 @@
     detail: str = ""
     end_number: int = 0
     percent: int = 0
-    kept: bool = True
+    durable: bool = True
     ran_ms: int = count_field(default=0)
     left_ms: int = count_field(default=0)
     stalled_ms: int = count_field(default=0)
@@ -276,7 +276,7 @@
 class StartOrder:
     """Tasks of a job to start at a runner; ``clock_ms`` is the last clock heard of the agent.
 
-    ``kept`` tells whether the job is stored. The queue and its priority, 0 for the most urgent
+    ``durable`` tells whether the job is stored. The queue and its priority, 0 for the most urgent
     one, let the agent weigh the work of all entries. ``submission`` tells the submissions of a job
     that is not stored from each other: each begins with attempt 1. It is 0 for a stored one.
     """
@@ -286,7 +286,7 @@
     epoch: int = count_field(minimum=1)
     spec: str = text_field(8_000)
     clock_ms: int = count_field()
-    kept: bool = attrs.field(validator=attrs.validators.instance_of(bool))
+    durable: bool = attrs.field(validator=attrs.validators.instance_of(bool))
     runs: tuple[OrderedRun, ...] = rows_field(OrderedRun, MAX_ROWS)
     queue: str = text_field(default="")
     priority: int = count_field(default=0)
@@ -437,7 +437,7 @@
     task: str
     attempt: int
     epoch: int
-    kept: bool
+    durable: bool
     cpu_milli: int
     memory_mb: int
     accelerators: int
--- a/src/gapdrum/core/placer.py
+++ b/src/gapdrum/core/placer.py
@@ -132,7 +132,7 @@
         return [
             job
             for job in (self.jobs[job_id] for job_id in self.waiting)
-            if not job.kept
+            if not job.durable
             and job.is_unstarted
             and now_ms > (job.firm_deadline_ms if warming_up else job.begin_by_ms)
         ]
@@ -177,7 +177,7 @@
         first_held: dict[str, Job] = {}
         held: Counter[str] = Counter()
         for job in sorted(jobs, key=lambda job: waiting_order(job, now_ms)):
-            if job.kept and not holds_lease or held[job.upstream] >= HELD_JOBS_TRIED:
+            if job.durable and not holds_lease or held[job.upstream] >= HELD_JOBS_TRIED:
                 continue
             if not job.may_start(now_ms):
                 continue
@@ -267,7 +267,7 @@
             job.epoch,
             job.spec,
             runner.agent.clock_ms,
-            job.kept,
+            job.durable,
             runs,
             job.queue,
             job.priority,
--- a/src/gapdrum/core/run_bounds.py
+++ b/src/gapdrum/core/run_bounds.py
@@ -45,15 +45,15 @@
 
     resubmit_ms: int
 
-    def lease_duration_ms(self, kept: bool) -> int:
+    def lease_duration_ms(self, durable: bool) -> int:
         """Return how long after its owner's last word a run's lease has ended."""
         longest_ms = GRANT_MS + STOP_ALLOWANCE_MS
-        return longest_ms if kept else min(longest_ms, self.resubmit_ms - RESUBMIT_MARGIN_MS)
+        return longest_ms if durable else min(longest_ms, self.resubmit_ms - RESUBMIT_MARGIN_MS)
 
     def lease_ms(self, run_lease_ms: int) -> int:
         """Return the longest lease to ask for at a runner that grants so much."""
-        return min(run_lease_ms, self.lease_duration_ms(kept=False) - ORDER_AGE_MS)
+        return min(run_lease_ms, self.lease_duration_ms(durable=False) - ORDER_AGE_MS)
 
-    def grant_ms(self, kept: bool) -> int:
+    def grant_ms(self, durable: bool) -> int:
         """Return how long after its owner's last word a run is to be stopped."""
-        return self.lease_duration_ms(kept) - STOP_ALLOWANCE_MS
+        return self.lease_duration_ms(durable) - STOP_ALLOWANCE_MS
--- a/src/gapdrum/core/runner_ledger.py
+++ b/src/gapdrum/core/runner_ledger.py
@@ -46,7 +46,8 @@
     ``start_expires_ms`` is the reading of the runner's clock from which on the start can't
     take effect any more, and ``calling`` tells whether the call is still under way. One that is
     not ``claimed`` was found at the runner, or its owner has joined anew, and has not said yet
-    that the run is its own; ``last_echo_ms`` is the owner's last word before that, None if not known.
+    that the run is its own; ``last_echo_ms`` is the owner's last word before that, None if not
+    known.
     """
 
     key: RunKey
@@ -56,7 +57,7 @@
     start_expires_ms: int
     since_ms: int
     phase: str = orders.HELD_STARTING
-    kept: bool = True
+    durable: bool = True
     claimed: bool = True
     last_echo_ms: int | None = None
     calling: bool = False
@@ -142,7 +143,7 @@
     """An owner of whom something is held, and whether that is of stored jobs."""
 
     owner: str
-    kept: bool
+    durable: bool
 
 
 @attrs.define
@@ -249,7 +250,7 @@
         key: RunKey,
         owner: str,
         epoch: int,
-        kept: bool,
+        durable: bool,
         room: Resources,
         submission: int = 0,
     ) -> None:
@@ -263,7 +264,7 @@
             self._take_room(run)
         run.owner = owner
         run.epoch = epoch
-        run.kept = kept
+        run.durable = durable
         run.submission = submission
         run.claimed = True
 
@@ -294,7 +295,7 @@
         run = self.drop(ended.run) or Run(ended.run, UNKNOWN_OWNER, 0, ZERO_RESOURCES, 0, now_ms)
         noted = ListedEnd(ended.run, run.owner, run.epoch, ended.end, now_ms, run.submission)
         self._judge_end(run, ended.end, now_ms)
-        noted.stored = not (run.kept and ended.end in (RunEnd.DONE, RunEnd.FAILED))
+        noted.stored = not (run.durable and ended.end in (RunEnd.DONE, RunEnd.FAILED))
         self.ends[ended.number] = noted
         if noted.stored and run.owner:
             self._keep_recent(noted)
@@ -453,7 +454,7 @@
         Young ends without a known owner don't count: after a restart most are of jobs whose
         callers have left, and whichever entry hears of them finds that out.
         """
-        owners = {HeldOwner(run.owner, run.kept) for run in self.runs.values()}
+        owners = {HeldOwner(run.owner, run.durable) for run in self.runs.values()}
         for end in self.ends.values():
             is_young = now_ms - end.noted_ms < STRAY_END_MS
             if not end.stored and not (end.owner == UNKNOWN_OWNER and is_young):
@@ -497,7 +498,7 @@
         kind,
         detail,
         end_number,
-        kept=run.kept,
+        durable=run.durable,
         submission=run.submission,
     )
 
--- a/src/gapdrum/core/stragglers.py
+++ b/src/gapdrum/core/stragglers.py
@@ -77,8 +77,8 @@
 class StragglerPolicy:
     """Judges runs that straggle, and counts the moves.
 
-    ``max_duration_factor`` tells how many times its estimate a task of a queue takes at most, but for
-    few: one that would take longer is held up by its runner.
+    ``max_duration_factor`` tells how many times its estimate a task of a queue takes at most, but
+    for few: one that would take longer is held up by its runner.
     """
 
     far_factor: float = 1.0
--- a/src/gapdrum/entry/acceptance.py
+++ b/src/gapdrum/entry/acceptance.py
@@ -170,7 +170,7 @@
     version: int,
     queue: Queue | None,
     now_ms: int,
-    kept: bool = True,
+    durable: bool = True,
 ) -> Job:
     """Return a job with the policy of its queue; of a queue that is gone, with defaults."""
     return build_job(
@@ -178,7 +178,7 @@
         record,
         version,
         now_ms,
-        kept=kept,
+        durable=durable,
         failures_allowed=queue.failures_allowed if queue else 1,
         priority=queue.priority if queue else 0,
         latency_factor=queue.latency_factor if queue else 1.0,
--- a/src/gapdrum/entry/job_api.py
+++ b/src/gapdrum/entry/job_api.py
@@ -241,7 +241,7 @@
 
     async def _find_state(self, job_id: str) -> JobState | None:
         job = self._dispatch.jobs.get(job_id)
-        if job is not None and (self._lease.valid or not job.kept):
+        if job is not None and (self._lease.valid or not job.durable):
             return JobState.RUNNING if job.begun else JobState.PENDING
         # The open row is read first: a job moves from there to the ended ones, never back.
         opened = await self._store.read_row(open_row(job_id))
@@ -278,7 +278,7 @@
         return self._endings.known_state(job_id) is not None or self._callers.has_ended(job_id)
 
     async def _end_cancelled(self, job: Job) -> None:
-        if job.kept:
+        if job.durable:
             await self._endings.finish(job)
         else:
             self._callers.complete_job(job)
--- a/src/gapdrum/entry/job_ends.py
+++ b/src/gapdrum/entry/job_ends.py
@@ -127,7 +127,7 @@
         """Store the ends of tasks of jobs that go on for longer."""
         limit_ms = self._timers.now_ms() - PROGRESS_DELAY_MS
         for job in list(self._dispatch.jobs.values()):
-            if job.kept and job.ending is None and 0 < job.progress_dirty_ms <= limit_ms:
+            if job.durable and job.ending is None and 0 < job.progress_dirty_ms <= limit_ms:
                 self._background.spawn(self._store_job_progress(job))
 
     async def _store_job_progress(self, job: Job) -> None:
--- a/src/gapdrum/entry/lease.py
+++ b/src/gapdrum/entry/lease.py
@@ -53,8 +53,8 @@
 class Lease:
     """Holds the lease of this entry and watches the others'.
 
-    ``on_answer_lost`` is called when another entry has ended the lease, and ``on_orphaned_jobs`` when a
-    life of an entry has ended, so that its jobs are without an owner.
+    ``on_lease_lost`` is called when another entry has ended the lease, and ``on_orphaned_jobs``
+    when a life of an entry has ended, so that its jobs are without an owner.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
         self.others: dict[str, ObservedLease] = {}
         self.count_waiting: Callable[[], dict[str, int]] = dict
         self.view_agents: Callable[[], VisibleCapacity] = lambda: VisibleCapacity(0, 0)
-        self.on_answer_lost: Callable[[], None] = lambda: None
+        self.on_lease_lost: Callable[[], None] = lambda: None
         self.on_orphaned_jobs: Callable[[], None] = lambda: None
         self._address = address
         self._store = store
@@ -161,7 +161,7 @@
         self._log.write("lease_lost", owner=self.owner, version=self._version)
         self._valid_until_ms = 0
         self._new_life()
-        self.on_answer_lost()
+        self.on_lease_lost()
 
     def _is_own(self, row: Row) -> bool:
         try:
--- a/src/gapdrum/entry/program.py
+++ b/src/gapdrum/entry/program.py
@@ -166,7 +166,7 @@
         self.lease.count_waiting = self.dispatch.count_waiting
         self.lease.view_agents = self._view_agents
         self.lease.on_orphaned_jobs = self.takeover.request_scan
-        self.lease.on_answer_lost = self._lose_lease
+        self.lease.on_lease_lost = self._lose_lease
         self.links.dispatch = self.dispatch
         self.links.owner = lambda: self.lease.owner
         self.links.former_owners = lambda: tuple(self.lease.former_owners)
@@ -183,7 +183,7 @@
 
     def job_ended(self, job: Job) -> None:
         """Store a job's end, or answer the callers that wait for it."""
-        if job.kept:
+        if job.durable:
             self.endings.store_end(job)
         else:
             self.callers.complete_job(job)
@@ -244,7 +244,7 @@
     def _lose_lease(self) -> None:
         """Let go of everything: another entry has ended this life and owns the jobs."""
         for job in list(self.dispatch.jobs.values()):
-            if job.kept:
+            if job.durable:
                 self.dispatch.drop_job(job.job_id, "lease_lost")
         self.links.broadcast(self.links.greeting())
         self.takeover.request_scan()
@@ -341,7 +341,7 @@
         await asyncio.sleep(KEEP_SERVING_MS / MS_PER_S)
         self.listener.close_idle()
         await self._wait_while(lambda: self.dispatch.jobs, end_ms - HAND_OVER_BEFORE_END_MS)
-        jobs_left = sum(job.kept for job in self.dispatch.jobs.values())
+        jobs_left = sum(job.durable for job in self.dispatch.jobs.values())
         await self.lease.leave()
         await self._wait_while(self.listener.busy_connections, answered_ms)
         self.callers.give_up()
--- a/src/gapdrum/entry/takeover.py
+++ b/src/gapdrum/entry/takeover.py
@@ -169,5 +169,5 @@
         return tuple(
             JobEpoch(job.job_id, job.epoch)
             for job in self._dispatch.jobs.values()
-            if job.kept and job.unknown_deadline_ms
+            if job.durable and job.unknown_deadline_ms
         )
--- a/src/gapdrum/entry/waiting_callers.py
+++ b/src/gapdrum/entry/waiting_callers.py
@@ -131,7 +131,7 @@
     ) -> None:
         now_ms = self._timers.now_ms()
         record = initial_record(queue, spec, steps, self._lease.owner, self._timers.wall_ms())
-        job = build_queue_job(job_id, record, 0, queue, now_ms, kept=False)
+        job = build_queue_job(job_id, record, 0, queue, now_ms, durable=False)
         job.caller_deadline_ms = caller.until_ms
         job.submission = 1 + secrets.randbits(SUBMISSION_BITS)
         self._log.write(
@@ -152,7 +152,7 @@
         if callers or job is None:
             return
         self._callers.pop(job_id, None)
-        if job.kept:  # accepted under this identity before: it runs on without callers
+        if job.durable:  # accepted under this identity before: it runs on without callers
             return
         job.ending = JobState.CANCELLED
         self._dispatch.stop_runs(job)
--- a/src/gapdrum/platform/runner_calls.py
+++ b/src/gapdrum/platform/runner_calls.py
@@ -74,7 +74,7 @@
 
     async def poll(
         self,
-        latest_lease_end_ms: int,
+        lease_until_ms: int,
         acknowledged_end: int,
         fence: int,
         wait_ms: int,
@@ -83,11 +83,11 @@
         """Renew the lease until a time on the runner's clock, and see what runs and has ended.
 
         Ends up to ``acknowledged_end`` are forgotten there. Waits up to ``wait_ms`` for a new end.
-        ``latest_lease_end_ms`` of 0 renews nothing.
+        ``lease_until_ms`` of 0 renews nothing.
         """
         body = {"fencing_token": fence, "seen_upto": acknowledged_end, "wait_ms": wait_ms}
-        if latest_lease_end_ms:
-            body["deadline_ms"] = latest_lease_end_ms
+        if lease_until_ms:
+            body["deadline_ms"] = lease_until_ms
         document = await self._post("/hold", body, timeout_ms)
         clock_ms = _clock(document)
         try:
--- a/tools/load_replay.py
+++ b/tools/load_replay.py
@@ -262,7 +262,7 @@
             return
         record = initial_record(queue, "{}", (step,), self.name, 0)
         now_ms = self.timers.now_ms()
-        job = build_queue_job(given.job_id, record, 0, queue, now_ms, kept=False)
+        job = build_queue_job(given.job_id, record, 0, queue, now_ms, durable=False)
         self.dispatch.add_job(job, now_ms)
 
     def leave(self, job_id: str) -> None:
--- a/tools/planted.py
+++ b/tools/planted.py
@@ -123,7 +123,7 @@
 def resubmission() -> None:
     """Hold what runs for a waiting caller as long as what runs for a stored job."""
     lease_duration_ms = RunBounds.lease_duration_ms
-    RunBounds.lease_duration_ms = lambda self, _kept: lease_duration_ms(self, kept=True)
+    RunBounds.lease_duration_ms = lambda self, _kept: lease_duration_ms(self, durable=True)
 
 
 @mechanism
