--- a/features/steps/refusal_steps.py
+++ b/features/steps/refusal_steps.py
@@ -12,13 +12,13 @@
 from behave import given, then, when
 from caller_deadline_steps import FakeDispatch
 from core_model import ManualTimers
-from gapdrum.core.shutdown import PlannedShutdown
 from platform_core_steps import JOB, OWNER, QUEUE
 from platform_system import RESUBMIT_MS
 
 from gapdrum.codec import Decoder, encode
 from gapdrum.core.endpoints import Endpoint
 from gapdrum.core.models import JobState
+from gapdrum.core.planned_shutdown import PlannedShutdown
 from gapdrum.core.rows import Committed, Row
 from gapdrum.entry import configuration_watch, peer_configuration
 from gapdrum.entry.acceptance import Acceptor
--- a/features/steps/unanswered_stop_steps.py
+++ b/features/steps/unanswered_stop_steps.py
@@ -15,7 +15,7 @@
 def stops_unanswered(context, time_ms):
     pair = context.pair
     pair.leave()
-    pair.tell_agent()
+    pair.deliver_to_agent()
     pair.pass_time(time_ms)
     assert context.stops
 
--- a/features/steps/zone_drain_steps.py
+++ b/features/steps/zone_drain_steps.py
@@ -305,7 +305,7 @@
 @then("the task is still held, and its lease is renewed")
 def still_held(context):
     assert len(context.controller.ledger.runs) == 1
-    assert context.controller._context.lease_left_ms(context.timers.now_ms()) > 0
+    assert context.controller._context.renewal_ms(context.timers.now_ms()) > 0
 
 
 @then("the start was called once, and its room is held until it can't take effect any more")
--- a/src/gapdrum/core/dispatch.py
+++ b/src/gapdrum/core/dispatch.py
@@ -436,7 +436,7 @@
     rng: random.Random | None = None,
     far_factor: float = 1.0,
 ) -> Dispatch:
-    """Return an owner without jobs; ``holds_lease`` tells whether it holds its lease in the store."""
+    """Return an owner without jobs; ``holds_lease`` tells if it holds its lease in the store."""
     jobs: dict[str, Job] = {}
     fleet = Fleet(effects)
     rng = rng or random.Random()
--- a/src/gapdrum/core/placer.py
+++ b/src/gapdrum/core/placer.py
@@ -249,7 +249,7 @@
     def _assign(self, job: Job, task: Task, runner: RunnerView, now_ms: int) -> None:
         task.attempt = job.next_attempt(task)
         task.phase = TaskPhase.ORDERED
-        task.put(runner.place)
+        task.assign_place(runner.place)
         task.incarnation_by_attempt[task.attempt] = runner.agent.incarnation
         task.started_ms = 0
         runner.order(task.step.resources)
--- a/src/gapdrum/entry/job_api.py
+++ b/src/gapdrum/entry/job_api.py
@@ -8,8 +8,8 @@
 from gapdrum.core.dispatch import Dispatch
 from gapdrum.core.jobs import Job, longest_chain_ms
 from gapdrum.core.models import JobState
+from gapdrum.core.planned_shutdown import PlannedShutdown
 from gapdrum.core.records import EndedJob, ended_row, load_record, open_row
-from gapdrum.core.shutdown import PlannedShutdown
 from gapdrum.entry.acceptance import Acceptance, Acceptor
 from gapdrum.entry.admission import Admission
 from gapdrum.entry.configuration_watch import ConfigurationWatch
