--- a/src/gapdrum/platform/__init__.py
+++ b/src/gapdrum/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The users' platform: its names, formats and calls, decoded once into gapdrum's types.
+"""Adapter to the users' platform: decodes its names, formats and calls into gapdrum's types.
 
-Nothing here decides anything, and nothing outside this folder knows the platform's names.
-Where a name of theirs misleads, a comment says what the field really holds.
+This package makes no decisions, and no other package uses the platform's names. A comment
+explains each platform field whose name is misleading.
 """
--- a/src/gapdrum/platform/boot.py
+++ b/src/gapdrum/platform/boot.py
@@ -10,12 +10,12 @@
 from gapdrum.core.endpoints import Endpoint, parse_endpoint
 
 SETTINGS_VARIABLE = "GAPDRUM_SETTINGS"
-DEFAULT_RESUBMIT_MS = 1_300  # where the settings do not state it
+DEFAULT_RESUBMIT_MS = 1_300  # used if the settings file does not state it
 
 
 @attrs.frozen
 class StoreLimits:
-    """What the platform's store allows all instances together."""
+    """Limits of the platform's store, shared by all instances."""
 
     writes_per_s: float
     reads_per_s: float
@@ -24,7 +24,7 @@
 
 @attrs.frozen
 class BootSettings:
-    """What a process learns from its settings file."""
+    """The settings of a process, decoded from its settings file."""
 
     instance: str
     zone: str
@@ -45,14 +45,14 @@
 
 
 def load_boot_settings(path: str | None = None) -> BootSettings:
-    """Read the settings file; raises OSError, or ValueError if a field is missing or wrong."""
+    """Read the settings file; raises OSError, or ValueError if a field is missing or invalid."""
     source = Path(path or os.environ[SETTINGS_VARIABLE])
     with source.open("rb") as file:
         document = tomllib.load(file)
     try:
         return decode_boot_settings(document)
     except (LookupError, TypeError, AttributeError, OverflowError) as error:
-        raise ValueError(f"{source}: field missing or wrong: {error}") from error
+        raise ValueError(f"{source}: missing or invalid field: {error}") from error
 
 
 def decode_boot_settings(document: dict[str, Any]) -> BootSettings:
@@ -64,7 +64,7 @@
         instance=document["node_name"],
         zone=document["zone"],
         host=document["ip"],
-        # The first port of the range that is free for traffic between our own processes.
+        # The range is reserved for traffic between gapdrum's processes; streams use its first port.
         streams_port=int(document["port_range"][0]),
         store=parse_endpoint(platform["address"]),
         store_limits=StoreLimits(
@@ -74,7 +74,7 @@
         ),
         # ``hold_max_ms`` is the longest lease that a runner grants its tasks.
         run_lease_ms=int(bounds["hold_max_ms"]),
-        # ``retransmit_ms`` is how soon a caller that waits sends its job again.
+        # ``retransmit_ms`` is the interval after which a waiting caller resubmits its job.
         resubmit_ms=int(bounds.get("retransmit_ms", DEFAULT_RESUBMIT_MS)),
         # ``grace_s`` is the time from SIGTERM to SIGKILL.
         shutdown_grace_ms=int(bounds["grace_s"] * 1000),
@@ -84,11 +84,11 @@
         heartbeat_address=_optional(listen.get("control")),
         # ``app`` is the address of the runner on the same machine.
         runner=_optional(document.get("app")),
-        # ``cloud_api`` lists the machines of the runners.
+        # ``cloud_api`` is the service that lists the runners' machines.
         machine_list=_optional(document.get("cloud_api", {}).get("address")),
-        # ``control`` addresses of some entries; they may be stale, or down.
-        # ``far_x`` is how many times as long a task takes on a rack without its data.
+        # ``far_x`` is the factor by which a task takes longer on a rack without its data.
         far_factor=max(1.0, float(bounds.get("far_x", 1.0))),
+        # ``seeds`` are the ``control`` addresses of some entries, which may be stale or down.
         seeds=tuple(parse_endpoint(text) for text in document.get("seeds", ())),
     )
 
--- a/src/gapdrum/platform/configuration.py
+++ b/src/gapdrum/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration: queues, upstreams and limits of the callers' interface."""
+"""Decodes the operators' configuration: queues, upstreams and limits of the HTTP interface."""
 
 import json
 from typing import Any
@@ -9,9 +9,9 @@
 
 
 def decode_configuration(row: Row, former: Configuration | None = None) -> Configuration:
-    """Return the configuration in its row; raises ValueError.
+    """Decode the configuration from its row; raises ValueError.
 
-    Shares of queues that can't be taken leave the former ones in force, and a finding.
+    Invalid shares of queues add a finding, and the ``former`` shares stay in force.
     """
     try:
         return _decode(json.loads(row.value), former)
@@ -44,7 +44,7 @@
         # ``attempts`` counts only runs that ended as failed, not starts.
         failures_allowed=max(1, int(route.get("attempts", 1))),
         latency_factor=float(route.get("stretch", 1.0)),
-        # ``target_latency_ms`` comes on top of the stretched work; it is not the whole target.
+        # ``target_latency_ms`` is added to the stretched work; it is not the whole target.
         latency_slack_ms=int(route.get("target_latency_ms", 0)),
         timeout_ms=int(route.get("timeout_ms", 0)),
     )
--- a/src/gapdrum/platform/heartbeats.py
+++ b/src/gapdrum/platform/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats of runners. They may come from another writer: each field is checked."""
+"""Decodes heartbeats. They may come from another program, so each field is validated."""
 
 import json
 import math
@@ -15,8 +15,8 @@
 from gapdrum.structures import count_field, text_field
 
 MAX_LABELS = 64
-MAX_REASON_LENGTH = 200  # of a log line; a body may hold texts of any length
-# A runner that says anything else of itself is in a state that this program doesn't know.
+MAX_REASON_LENGTH = 200  # of the reason in the log; a body may contain strings of any length
+# The states that a heartbeat may state; any other is rejected as malformed.
 STATE_READY = "ready"
 STATE_DRAINING = "draining"
 
@@ -24,35 +24,35 @@
 def _check_number(_instance: object, attribute: attrs.Attribute, value: object) -> None:
     is_number = type(value) in (int, float) and math.isfinite(value)
     if not is_number or value < 0:
-        raise ValueError(f"{attribute.name} must be a number from 0 on")
+        raise ValueError(f"{attribute.name} must be a non-negative number")
 
 
-def _take_list(value: object) -> tuple:
+def _convert_list(value: object) -> tuple:
     if not isinstance(value, list):
         raise TypeError("expected a list")
     return tuple(value)
 
 
 def _converted_field(name: str, convert: Callable[[Any], Any], **options: Any) -> Any:
-    """Return a field whose value is converted; an error names it."""
+    """Return a field whose value is converted; conversion errors name the field."""
 
-    def take(value: Any) -> Any:
+    def convert_checked(value: Any) -> Any:
         try:
             return convert(value)
         except (TypeError, ValueError, AttributeError) as error:
             raise ValueError(f"{name}: {error}") from error
 
-    return attrs.field(converter=take, **options)
+    return attrs.field(converter=convert_checked, **options)
 
 
 def _number_field() -> Any:
-    """Return a field that nothing is decided by; of another type, it shows another writer."""
+    """Return a field that no decision uses; a wrong type still makes a heartbeat malformed."""
     return attrs.field(default=0, validator=_check_number)
 
 
 @attrs.frozen
 class HeartbeatBody:
-    """The fields of a heartbeat as they are on the wire; building it checks them."""
+    """The fields of a heartbeat under their names on the wire; construction validates them."""
 
     service: str = text_field()
     address: Endpoint = _converted_field("address", parse_endpoint)
@@ -63,7 +63,7 @@
     # The runner's kind and its rack.
     labels: tuple[str, ...] = _converted_field(
         "labels",
-        _take_list,
+        _convert_list,
         factory=list,
         validator=[
             validators.deep_iterable(validators.instance_of(str)),
@@ -80,9 +80,9 @@
 
 
 def decode_heartbeat(runner_id: str, body: bytes) -> Heartbeat:
-    """Return the heartbeat in a body; raises ValueError that names the field.
+    """Decode a heartbeat; raises a ValueError that names the invalid field.
 
-    Fields that this program doesn't know are passed over.
+    Unknown fields are ignored.
     """
     try:
         document = json.loads(body)
--- a/src/gapdrum/platform/machine_list.py
+++ b/src/gapdrum/platform/machine_list.py
@@ -1,4 +1,4 @@
-"""The platform's list of the machines that runners live on."""
+"""Client of the platform's list of the machines that host runners."""
 
 from typing import Any
 from urllib.parse import quote
@@ -10,16 +10,16 @@
 from gapdrum.platform.resources import decode_resources
 from gapdrum.transport.http_client import HttpClient, NoReplyError
 
-# A page holds some hundred machines; more pages than this are taken for a fault.
+# A page holds some hundred machines; a longer list is treated as a fault.
 MAX_PAGES = 50
 
 
 async def find_listed_runner(
     address: Endpoint, runner_id: str, timeout_ms: int
 ) -> ListedRunner | None:
-    """Return what the list says of a runner, None if it isn't there.
+    """Return the runner's entry in the list, None if there is none.
 
-    Raises NotSentError, and NoReplyError for a missing, refused or malformed answer, too.
+    Raises NotSentError, and NoReplyError also for an error status or a malformed reply.
     """
     client = HttpClient(address.host, address.port)
     path = "/machines"
@@ -36,16 +36,16 @@
 
 @attrs.frozen
 class ListPage:
-    """What a page of the list says of a runner, and where the list goes on."""
+    """The runner's entry on a page, if any, and the token of the next page."""
 
     found: ListedRunner | None
     next_token: str
 
 
 def decode_page(document: Any, runner_id: str) -> ListPage:
-    """Return what a page says of a runner; raises NoReplyError.
+    """Decode a page and look a runner up on it; raises NoReplyError.
 
-    Machines of other writers, which can't be read, are passed over.
+    Malformed entries of other writers are ignored.
     """
     try:
         rows = [row for row in document["machines"] if isinstance(row, dict)]
@@ -59,16 +59,16 @@
 async def _read_page(client: HttpClient, path: str, timeout_ms: int) -> Any:
     reply = await client.call("GET", path, timeout_ms=timeout_ms)
     if reply.status != 200:
-        raise NoReplyError(f"the list of machines was answered {reply.status}")
+        raise NoReplyError(f"the list of machines answered with status {reply.status}")
     try:
         return reply.document()
     except ValueError as error:
-        raise NoReplyError("the list of machines is no JSON") from error
+        raise NoReplyError("the list of machines is not valid JSON") from error
 
 
 def _decode_machine(row: dict[str, Any]) -> ListedRunner:
     return ListedRunner(
-        # A ``pool`` of machines is what serves an upstream.
+        # The machines of one ``pool`` serve one upstream.
         upstream=_decode_pool(row["pool"]),
         capacity=decode_resources(row["capacity"]),
         labels=_decode_labels(row.get("labels", [])),
@@ -83,5 +83,5 @@
 
 def _decode_labels(labels: object) -> tuple[str, ...]:
     if not isinstance(labels, list) or not all(isinstance(label, str) for label in labels):
-        raise ValueError("labels must be texts")
+        raise ValueError("labels must be strings")
     return tuple(labels)
--- a/src/gapdrum/platform/queue_shares.py
+++ b/src/gapdrum/platform/queue_shares.py
@@ -1,6 +1,6 @@
-"""A queue's part of scarce room in the operators' configuration, checked by itself.
+"""Validates the shares of room that the operators' configuration gives to queues.
 
-A value that can't be taken costs neither the other queues nor the rest of the configuration.
+An invalid value affects neither the other queues nor the rest of the configuration.
 """
 
 from collections import defaultdict
@@ -11,18 +11,18 @@
 from gapdrum.core.configuration import PERMILLE, Configuration, Queue
 from gapdrum.exceptions import Finding
 
-MOST_WEIGHT = 1_000
-# The least and the most value of each field.
+MAX_WEIGHT = 1_000
+# The minimum and maximum value of each field.
 BOUNDS = {
-    "weight": (1, MOST_WEIGHT),
+    "weight": (1, MAX_WEIGHT),
     "reserved_permille": (0, PERMILLE),
     "ceiling_permille": (1, PERMILLE),
 }
 
 
 @attrs.frozen
-class SharedQueues:
-    """The queues with their shares, and what is wrong with values that were not taken."""
+class QueuesWithShares:
+    """The queues with their shares, and findings about the rejected values."""
 
     queues: tuple[Queue, ...]
     findings: tuple[Finding, ...]
@@ -30,24 +30,24 @@
 
 def apply_shares(
     queues: tuple[Queue, ...], routes: list[dict[str, Any]], former: Configuration | None
-) -> SharedQueues:
-    """Return the queues with the shares in their routes; bad ones leave the former in force."""
+) -> QueuesWithShares:
+    """Apply the shares in the routes; a queue with invalid ones keeps its former shares."""
     findings: list[Finding] = []
-    taken = []
+    updated = []
     for number, (queue, route) in enumerate(zip(queues, routes, strict=True)):
         found = _check_route(f"$.routes[{number}]", route)
         findings += found
         values = {name: route[name] for name in BOUNDS if name in route}
-        taken.append(_with_former(queue, former) if found else attrs.evolve(queue, **values))
-    return _limit_reserved(taken, findings, former)
+        updated.append(_with_former(queue, former) if found else attrs.evolve(queue, **values))
+    return _limit_reserved(updated, findings, former)
 
 
 def _check_route(place: str, route: dict[str, Any]) -> list[Finding]:
     findings = []
-    for name, (least, most) in BOUNDS.items():
-        value = route.get(name, least)
-        if type(value) is not int or not least <= value <= most:
-            message = f"must be an integer between {least} and {most}"
+    for name, (minimum, maximum) in BOUNDS.items():
+        value = route.get(name, minimum)
+        if type(value) is not int or not minimum <= value <= maximum:
+            message = f"must be an integer between {minimum} and {maximum}"
             findings.append(Finding(f"{place}.{name}", message))
     reserved = route.get("reserved_permille", 0)
     if not findings and reserved > route.get("ceiling_permille", PERMILLE):
@@ -58,15 +58,15 @@
 
 def _limit_reserved(
     queues: list[Queue], findings: list[Finding], former: Configuration | None
-) -> SharedQueues:
-    """Take no reserved shares of an upstream that come to more than the whole."""
+) -> QueuesWithShares:
+    """Reject the reserved shares of an upstream if their sum exceeds the whole."""
     sums: dict[str, int] = defaultdict(int)
     for queue in queues:
         sums[queue.upstream] += queue.reserved_permille
     over = {upstream for upstream, total in sums.items() if total > PERMILLE}
     for number, queue in enumerate(queues):
         if queue.upstream in over and queue.reserved_permille:
-            message = f"the shares of {queue.upstream} come to {sums[queue.upstream]} permille"
+            message = f"the shares of {queue.upstream} add up to {sums[queue.upstream]} permille"
             place = f"$.routes[{number}].reserved_permille"
             findings.append(Finding(place, message))
             queues[number] = _with_former(queue, former)
@@ -76,11 +76,11 @@
         if sums[queue.upstream] > PERMILLE:
             sums[queue.upstream] -= queue.reserved_permille
             queues[number] = attrs.evolve(queue, reserved_permille=0)
-    return SharedQueues(tuple(queues), tuple(findings))
+    return QueuesWithShares(tuple(queues), tuple(findings))
 
 
 def _with_former(queue: Queue, former: Configuration | None) -> Queue:
-    """Return a queue with the shares that it had, or with the defaults."""
+    """Return a queue with its former shares, or with the defaults if it is new."""
     known = former.queue_named(queue.name) if former is not None else None
     if known is None:
         return attrs.evolve(queue, weight=1, reserved_permille=0, ceiling_permille=PERMILLE)
--- a/src/gapdrum/platform/rows.py
+++ b/src/gapdrum/platform/rows.py
@@ -1,4 +1,4 @@
-"""The platform's store of rows: transactions, reads of ranges, and the feed of changes."""
+"""Client of the platform's row store: transactions, range reads and the change feed."""
 
 import base64
 import json
@@ -27,31 +27,31 @@
 from gapdrum.transport.http_client import HttpClient, NoReplyError, NotSentError
 from gapdrum.transport.http_messages import HttpReply
 
-# What reading a document raises whose fields are missing or of other types.
+# The errors that decoding raises if fields are missing or have another type.
 MALFORMED = (LookupError, TypeError, ValueError, AttributeError, OverflowError)
-# The value of a row that was there and could not be read: no record of ours is empty.
+# The value given to a row that can't be decoded; no valid record of gapdrum is empty.
 UNREADABLE = b""
-# Places of rows that could not be read which are remembered, so that each is logged once.
-KEPT_PLACES = 256
+# How many places of undecodable rows are remembered, so that each is logged once.
+MAX_LOGGED_PLACES = 256
 MAX_PLACE_LENGTH = 200
 MAX_REASON_LENGTH = 200
-FEED_MARGIN_MS = 500  # a feed answers at its own time-out; allow the way and a slow store
+FEED_MARGIN_MS = 500  # on top of the feed's own time-out, for the round trip and a slow store
 
 
 class RowStore:
-    """Calls the store; every call has its own time-out.
+    """Client of the store; every call has its own time-out.
 
-    Raises StoreRejectedError where nothing was done, and
-    StoreOutcomeUnknownError where a write may or may not take effect.
+    Raises StoreRejectedError if a call had no effect, and
+    StoreOutcomeUnknownError if a write may or may not take effect.
     """
 
     def __init__(self, address: Endpoint, log: EventLog) -> None:
         self._client = HttpClient(address.host, address.port)
         self._log = log
-        self._unreadable: OrderedDict[str, None] = OrderedDict()  # what was said already
+        self._logged_places: OrderedDict[str, None] = OrderedDict()  # oldest first
 
     async def transact(self, transaction: Transaction, timeout_ms: int) -> Committed | Conflict:
-        """Try a transaction once."""
+        """Attempt a transaction once."""
         body = json.dumps(_encode_transaction(transaction)).encode()
         reply = await self._call("POST", "/rows-tx", body, timeout_ms)
         if reply.status == 412:
@@ -62,7 +62,7 @@
     async def read(
         self, table: str, part: str, timeout_ms: int, *, first: str = "", limit: int = 500
     ) -> Page:
-        """Read rows of a part from the key ``first`` on."""
+        """Read rows of a partition, starting at the key ``first``."""
         query = {"table": table, "part": part, "limit": limit}
         if first:
             query["from"] = first
@@ -72,7 +72,7 @@
 
     async def read_row(self, at: RowKey, timeout_ms: int) -> Row | None:
         """Read one row; None if it does not exist."""
-        # ``destination`` is the end of the range, excluded: the next key after this one.
+        # ``destination`` is the exclusive end of the range: the next possible key.
         query = {"table": at.table, "part": at.part, "from": at.key, "destination": at.key + "\0"}
         rows = self._decode_all(await self._read({**query, "limit": 1}, timeout_ms))
         return rows[0] if rows else None
@@ -83,7 +83,7 @@
         return _document(reply)
 
     async def watch(self, table: str, after: int, wait_ms: int) -> Changes:
-        """Wait for changes of a table; raises StoreHistoryGoneError if they are forgotten."""
+        """Wait for changes of a table; raises StoreHistoryGoneError if they are dropped."""
         query = urlencode({"table": table, "after": after, "wait_ms": wait_ms})
         reply = await self._call("GET", f"/rows-feed?{query}", b"", wait_ms + FEED_MARGIN_MS)
         if reply.status == 410:
@@ -93,42 +93,42 @@
         return Changes(self._decode_rows(document), _version(document))
 
     def _decode_rows(self, document: dict[str, Any]) -> tuple[Row, ...]:
-        """Return the rows of an answer; one without an identity is left out, as it names nothing.
+        """Decode the rows of a reply; a row without a valid key is left out.
 
-        A row of another writer must not cost the others.
+        A malformed row of another writer must not make the others unreadable.
         """
         rows = document.get("rows")
         if not isinstance(rows, list):
-            raise StoreOutcomeUnknownError("the store's answer has no rows")
+            raise StoreOutcomeUnknownError("the store's reply has no rows")
         return tuple(filter(None, map(self._decode_row, rows)))
 
     def _decode_all(self, document: dict[str, Any]) -> tuple[Row, ...]:
-        """Return the rows of an answer on rows that the caller has named: none may be missing."""
+        """Decode the rows of a reply about named rows; none may lack a valid key."""
         rows = self._decode_rows(document)
         if len(rows) != len(document["rows"]):
-            raise StoreOutcomeUnknownError("the store's answer has rows without an identity")
+            raise StoreOutcomeUnknownError("the store's reply has rows without a valid key")
         return rows
 
     def _decode_row(self, row: object) -> Row | None:
-        """Return a row, with ``UNREADABLE`` as its value if that or its version can't be read."""
+        """Decode a row; its value is ``UNREADABLE`` if the value or version can't be decoded."""
         try:
             at = _decode_identity(row)
         except MALFORMED as error:
-            self._note_unreadable("?", error)
+            self._log_unreadable("?", error)
             return None
         try:
             return _decode_contents(at, row)
         except MALFORMED as error:
-            self._note_unreadable(f"{at.table}/{at.part}/{at.key}", error)
+            self._log_unreadable(f"{at.table}/{at.part}/{at.key}", error)
             return Row(at, UNREADABLE, ABSENT)
 
-    def _note_unreadable(self, place: str, error: Exception) -> None:
-        """Say once where a row stands that can't be read."""
-        if place in self._unreadable:
+    def _log_unreadable(self, place: str, error: Exception) -> None:
+        """Log the place of an undecodable row once."""
+        if place in self._logged_places:
             return
-        self._unreadable[place] = None
-        while len(self._unreadable) > KEPT_PLACES:
-            self._unreadable.popitem(last=False)
+        self._logged_places[place] = None
+        while len(self._logged_places) > MAX_LOGGED_PLACES:
+            self._logged_places.popitem(last=False)
         reason = repr(error)[:MAX_REASON_LENGTH]
         self._log.write("row_unreadable", place=place[:MAX_PLACE_LENGTH], reason=reason)
 
@@ -154,9 +154,9 @@
     try:
         document = reply.document()
     except ValueError as error:
-        raise StoreOutcomeUnknownError("the store's answer is no JSON") from error
+        raise StoreOutcomeUnknownError("the store's reply is not valid JSON") from error
     if not isinstance(document, dict):
-        raise StoreOutcomeUnknownError("the store's answer is no object")
+        raise StoreOutcomeUnknownError("the store's reply is not an object")
     return document
 
 
@@ -164,7 +164,7 @@
     try:
         return int(document["ver"])
     except (KeyError, TypeError, ValueError, OverflowError) as error:
-        raise StoreOutcomeUnknownError("the store's answer has no version") from error
+        raise StoreOutcomeUnknownError("the store's reply has no version") from error
 
 
 def _encode_transaction(transaction: Transaction) -> dict[str, Any]:
@@ -187,7 +187,7 @@
 def _decode_identity(row: object) -> RowKey:
     names = (row["table"], row.get("part", ""), row["key"])
     if not all(isinstance(name, str) for name in names):
-        raise TypeError("table, part and key must be texts")
+        raise TypeError("table, part and key must be strings")
     return RowKey(*names)
 
 
--- a/src/gapdrum/platform/runner_calls.py
+++ b/src/gapdrum/platform/runner_calls.py
@@ -1,4 +1,4 @@
-"""What a runner is told, and what it answers: starts, stops, and looks at what it runs."""
+"""Client of a runner: start, stop and poll calls, and the decoding of their replies."""
 
 import json
 from typing import Any
@@ -23,7 +23,7 @@
 
 
 class RunnerRejectedError(GapdrumError):
-    """The runner did not do what it was told; ``reason`` says why, ``clock_ms`` is its clock."""
+    """The runner rejected a call; ``reason`` says why, ``clock_ms`` is the runner's clock."""
 
     code = "runner_rejected"
 
@@ -34,7 +34,7 @@
         self.clock_ms = clock_ms
 
 
-# What reading a document raises whose fields are missing or of other types.
+# The errors that decoding raises if fields are missing or have another type.
 MALFORMED = (LookupError, ValueError, TypeError, AttributeError, OverflowError)
 
 # Reasons of a rejection.
@@ -42,7 +42,7 @@
 
 
 class RunnerCalls:
-    """Calls one incarnation of a runner. Raises NotSentError and NoReplyError, too."""
+    """Client of one incarnation of a runner. Calls may also raise NotSentError and NoReplyError."""
 
     def __init__(self, address: Endpoint, runner_id: str) -> None:
         self.runner_id = runner_id
@@ -50,25 +50,25 @@
         self._headers = {TARGET_HEADER: runner_id}
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         self._client.close()
 
     async def start(
         self, run: RunKey, spec: str, expires_ms: int, fence: int, timeout_ms: int
     ) -> int:
-        """Start a run, unless its clock is past ``expires_ms``; returns the runner's clock."""
+        """Start a run unless the runner's clock is past ``expires_ms``; returns that clock."""
         body = {
             "task": run.task.text,
             "attempt": run.attempt,
             "spec": spec,
-            # Also extends the lease of all that runs there, never shortens it.
+            # Also extends the lease of all runs at the runner, and never shortens it.
             "deadline_ms": expires_ms,
             "fencing_token": fence,
         }
         return _clock(await self._post("/run-start", body, timeout_ms))
 
     async def stop(self, run: RunKey, fence: int, timeout_ms: int) -> int:
-        """Stop a run, and refuse it if it has not come yet; returns the runner's clock."""
+        """Stop a run; a start of it that arrives later is rejected. Returns the runner's clock."""
         body = {"task": run.task.text, "attempt": run.attempt, "fencing_token": fence}
         return _clock(await self._post("/run-stop", body, timeout_ms))
 
@@ -80,10 +80,10 @@
         wait_ms: int,
         timeout_ms: int,
     ) -> RunnerSnapshot:
-        """Renew the lease until a time on the runner's clock, and see what runs and has ended.
+        """Renew the lease until a time on the runner's clock, and return its runs and ends.
 
-        Ends up to ``acknowledged_end`` are forgotten there. Waits up to ``wait_ms`` for a new end.
-        ``lease_until_ms`` of 0 renews nothing.
+        The runner drops ends up to ``acknowledged_end``, and waits up to ``wait_ms`` for a new
+        one. ``lease_until_ms`` of 0 renews nothing.
         """
         body = {"fencing_token": fence, "seen_upto": acknowledged_end, "wait_ms": wait_ms}
         if lease_until_ms:
@@ -94,7 +94,7 @@
             running = tuple(_decode_running(row) for row in document["running"])
             ended = tuple(_decode_ended(row) for row in document["ended"])
         except MALFORMED as error:
-            raise NoReplyError(f"the look is malformed: {error!r}") from error
+            raise NoReplyError(f"the poll reply is malformed: {error!r}") from error
         return RunnerSnapshot(clock_ms, running, ended)
 
     async def _post(self, path: str, body: dict[str, Any], timeout_ms: int) -> dict[str, Any]:
@@ -104,7 +104,7 @@
 
 
 async def fetch_identity(address: Endpoint, timeout_ms: int) -> str:
-    """Return the identity of the runner that listens at an address, empty if it says none."""
+    """Return the identity of the runner that listens at an address, empty if it states none."""
     client = HttpClient(address.host, address.port)
     try:
         reply = await client.call("GET", "/healthz", timeout_ms=timeout_ms)
@@ -133,7 +133,7 @@
     try:
         return int(document["clock_ms"])
     except (KeyError, ValueError, TypeError, OverflowError) as error:
-        raise NoReplyError(f"the reply has no clock: {error!r}") from error
+        raise NoReplyError(f"the reply has no valid clock: {error!r}") from error
 
 
 def _decode_running(row: list[Any]) -> RunningTask:
--- a/src/gapdrum/platform/submissions.py
+++ b/src/gapdrum/platform/submissions.py
@@ -1,4 +1,4 @@
-"""Jobs as callers hand them in, and the answers that tell their state."""
+"""Decodes the jobs that callers submit, and builds the responses about their state."""
 
 import json
 from collections.abc import Mapping
@@ -13,16 +13,16 @@
 
 JOB_ID_LENGTH = 16
 MAX_SPEC_BYTES = 4_000
-MAX_TASKS = 10_000  # far above the 390 that users state; bounds the work of one body
+MAX_TASKS = 10_000  # bounds the work per request; users state at most 390 tasks
 MAX_COUNT = 2**31
 
-# For how many milliseconds a caller waits for a response, counted from its sending.
+# How many milliseconds a caller waits for a response, from when it sent the request.
 WAIT_LIMIT_HEADER = "x-deadline"
 MAX_WAIT_LIMIT_MS = 24 * 60 * 60 * 1_000
 MAX_WAIT_LIMIT_DIGITS = len(str(MAX_WAIT_LIMIT_MS))
 
-# Fields of a step that change what must happen and are not built. Copies of a task and
-# checkpoints are permissions, not duties, so they need nothing.
+# Fields of a step that require what is not implemented. Speculative copies and checkpoints
+# are optional for the dispatcher, so their fields are accepted without effect.
 UNSUPPORTED_STEP_FIELDS = ("gang", "same_rack", "long_running", "fills", "may_miss", "target_ms")
 UNSUPPORTED_JOB_FIELDS = ("times", "start_at_ms", "interval_ms")
 JOB_FIELDS = {"spec", "steps", "best_effort", *UNSUPPORTED_JOB_FIELDS}
@@ -34,10 +34,10 @@
 
 @attrs.frozen
 class SubmittedJob:
-    """A job's body, decoded and checked.
+    """A decoded and validated job.
 
-    The answer to one that is ``answered_at_end`` comes when it has ended; it is not stored, and
-    the caller sends it again if no answer comes.
+    A job that is ``answered_at_end`` is non-durable: the response is sent when it has ended,
+    and the caller resubmits it if there is no response.
     """
 
     spec: str
@@ -46,12 +46,12 @@
 
 
 def is_job_id(text: str) -> bool:
-    """Tell whether a path ends in a job's identity: 16 hexadecimal digits."""
+    """Tell whether a part of a path is a job id: 16 hexadecimal digits."""
     return len(text) == JOB_ID_LENGTH and all(letter in "0123456789abcdefABCDEF" for letter in text)
 
 
 def decode_job(body: bytes) -> SubmittedJob:
-    """Return the job in a body; raises InvalidInputError or UnsupportedJobError."""
+    """Decode a job; raises InvalidInputError or UnsupportedJobError."""
     try:
         document = json.loads(body)
     except (ValueError, RecursionError) as error:
@@ -63,15 +63,15 @@
     return SubmittedJob(
         spec=document["spec"],
         steps=tuple(_decode_step(step) for step in document["steps"]),
-        # ``best_effort`` says nothing of effort: the job need not be stored.
+        # ``best_effort`` only means that the job need not be stored.
         answered_at_end=bool(document.get("best_effort")),
     )
 
 
 def decode_wait_limit_ms(headers: Mapping[str, str]) -> int | None:
-    """Return for how long a caller waits, or None if it does not say so in a form that is sound.
+    """Return how long a caller waits, None if the header is missing or invalid.
 
-    A value that can't be read must not cost the caller its answer, so it limits nothing.
+    An invalid value must not cost the caller its response, so it sets no limit.
     """
     text = headers.get(WAIT_LIMIT_HEADER, "").strip(" \t")
     if not (text.isascii() and text.isdigit()) or len(text) > MAX_WAIT_LIMIT_DIGITS:
@@ -81,7 +81,7 @@
 
 
 class _JobChecker:
-    """Collects what is wrong with a job's body, each finding with its place."""
+    """Validates a job's body and collects findings, each with its place."""
 
     def __init__(self, document: Any) -> None:
         self._document = document
@@ -141,7 +141,7 @@
 
 
 def _is_text(value: object) -> bool:
-    """Tell whether a value is a text that can be written as UTF-8; JSON can hold others."""
+    """Tell whether a value is a string that UTF-8 can encode; JSON allows others."""
     return isinstance(value, str) and not any("\ud800" <= letter <= "\udfff" for letter in value)
 
 
@@ -153,7 +153,7 @@
         ]
     if places:
         findings = tuple(Finding(place, "not supported") for place in places)
-        raise UnsupportedJobError("the job asks for what is not supported", findings=findings)
+        raise UnsupportedJobError("the job uses fields that are not supported", findings=findings)
 
 
 def _decode_step(step: dict[str, Any]) -> Step:
@@ -171,10 +171,10 @@
 
 
 def state_response(state: JobState) -> HttpResponse:
-    """Return the answer to a question after a job's state."""
+    """Return the response to a query of a job's state."""
     return json_response(200, {"state": state.value})
 
 
 def waiting_response(jobs: int) -> HttpResponse:
-    """Return the answer to a question after a queue: how many jobs have not begun."""
+    """Return the response to a query of a queue: how many jobs have not begun."""
     return json_response(200, {"waiting": jobs})
--- a/src/gapdrum/transport/http_client.py
+++ b/src/gapdrum/transport/http_client.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 client on asyncio with kept connections; one request at a time on each."""
+"""An asyncio HTTP/1.1 client with keep-alive connections; one request at a time on each."""
 
 import asyncio
 from collections.abc import Mapping
@@ -9,35 +9,35 @@
 from gapdrum.timers import MS_PER_S
 from gapdrum.transport.http_messages import JSON_TYPE, HttpReply
 
-CONNECT_TIMEOUT_MS = 500  # a round trip is under 10 ms; a lost opening packet costs 1 s
+CONNECT_TIMEOUT_MS = 500  # a round trip is under 10 ms; a lost SYN costs 1 s
 
 
 class NotSentError(GapdrumError):
-    """No connection could be made: nothing of the request was sent."""
+    """No connection could be opened, so nothing of the request was sent."""
 
     code = "not_sent"
     http_status = 503
 
 
 class RefusedConnectionError(NotSentError):
-    """Nobody listens at the address."""
+    """Nothing listens at the address."""
 
     code = "connection_refused"
 
 
 class NoReplyError(GapdrumError):
-    """The request was sent and no reply came: it may have been, or may yet be, carried out."""
+    """The request was sent and got no reply: it may have taken effect, or may yet do so."""
 
     code = "no_reply"
     http_status = 504
 
 
 class TimedOutError(NoReplyError):
-    """Nothing came back in time, while the connection seemed open."""
+    """No reply arrived in time, while the connection seemed open."""
 
 
 class HttpClient:
-    """Calls one address over a few kept connections.
+    """Calls one address over a pool of keep-alive connections.
 
     ::
 
@@ -68,7 +68,7 @@
             )
         except TimedOutError:
             connection.close()
-            self._close_unheard(sent_s)
+            self._close_silent(sent_s)
             raise
         except BaseException:
             connection.close()
@@ -83,14 +83,14 @@
             connection.close()
         self._idle.clear()
 
-    def _close_unheard(self, since_s: float) -> None:
-        """Close the idle connections on which nothing came since a request that timed out.
+    def _close_silent(self, since_s: float) -> None:
+        """Close the idle connections that received nothing since a request that timed out.
 
-        Connections may go silent all at once while new ones work. Without this each idle one
-        costs another time-out: 3 calls of 3 failed where 3 had been open, 1 with it.
+        All connections may go silent at once while new ones work. Each idle one would then
+        cost another time-out: with 3 open, 3 calls of 3 failed without this, and 1 with it.
         """
         for connection in self._idle:
-            if connection.heard_s < since_s:
+            if connection.last_received_s < since_s:
                 connection.close()
         self._idle = [one for one in self._idle if one.reusable]
 
@@ -126,7 +126,7 @@
 
 
 class _ClientConnection(asyncio.Protocol):
-    """One kept connection."""
+    """One keep-alive connection."""
 
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
@@ -135,7 +135,7 @@
         self._headers: dict[str, str] = {}
         self._body: list[bytes] = []
         self._lost = False
-        self.heard_s = 0.0
+        self.last_received_s = 0.0
 
     @property
     def reusable(self) -> bool:
@@ -147,17 +147,19 @@
 
     def connection_lost(self, _error: Exception | None) -> None:
         self._lost = True
-        self._fail(NoReplyError("the connection ended"))
+        self._fail(NoReplyError("the connection was lost"))
 
     def close(self) -> None:
-        """Drop the connection and what is under way on it."""
+        """Abort the connection and the exchange in progress."""
         self._transport.abort()
 
     async def exchange(self, request: bytes, timeout_s: float) -> HttpReply:
         """Send one request and wait for its reply; raises NoReplyError."""
         loop = asyncio.get_running_loop()
         self._reply = loop.create_future()
-        timer = loop.call_later(timeout_s, self._fail, TimedOutError("no reply in time"))
+        timer = loop.call_later(
+            timeout_s, self._fail, TimedOutError("no reply within the time-out")
+        )
         self._transport.write(request)
         try:
             return await self._reply
@@ -170,14 +172,14 @@
             self._reply.set_exception(error)
 
     def data_received(self, data: bytes) -> None:
-        self.heard_s = asyncio.get_running_loop().time()
+        self.last_received_s = asyncio.get_running_loop().time()
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
             self._fail(NoReplyError("the reply is malformed"))
             self._transport.abort()
 
-    # What the parser calls back, named as it asks for.
+    # Callbacks of the parser, under the names that httptools requires.
 
     def on_message_begin(self) -> None:
         self._headers = {}
--- a/src/gapdrum/transport/http_messages.py
+++ b/src/gapdrum/transport/http_messages.py
@@ -13,10 +13,10 @@
 
 @attrs.frozen
 class HttpRequest:
-    """A whole request as it arrived; header names are in lower case.
+    """A complete request; header names are in lower case.
 
-    ``received_ms`` is this process's steady clock when the last byte had come, and ``closed``
-    is done once the caller's connection is gone.
+    ``received_ms`` is this process's steady clock when the last byte arrived, and ``closed``
+    is done once the caller's connection is lost.
     """
 
     method: str
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class HttpResponse:
-    """What the server sends back; a ``retry_after_s`` of 0 sends no such header."""
+    """A response of the server; a ``retry_after_s`` of 0 sends no ``retry-after`` header."""
 
     status: int
     body: bytes = b""
@@ -39,7 +39,7 @@
     headers: Mapping[str, str] = attrs.Factory(dict)
 
     def encode(self, keep_alive: bool) -> bytes:
-        """Return the bytes of the response; ``close`` or a lost keep-alive ends the connection."""
+        """Return the bytes of the response; without ``keep_alive`` it ends the connection."""
         lines = [f"HTTP/1.1 {self.status} {_phrase(self.status)}"]
         if self.body:
             lines.append(f"content-type: {self.content_type}")
@@ -59,18 +59,18 @@
 
 @attrs.frozen
 class HttpReply:
-    """A whole reply that the client received."""
+    """A complete reply to a request of the client."""
 
     status: int
     headers: Mapping[str, str]
     body: bytes
 
     def document(self) -> Any:
-        """Return the body's JSON; raises ValueError if it is none, or nested without end."""
+        """Decode the body as JSON; raises ValueError if it is invalid or nested too deeply."""
         try:
             return json.loads(self.body)
         except RecursionError as error:
-            raise ValueError("nested too deep") from error
+            raise ValueError("nested too deeply") from error
 
 
 def _phrase(status: int) -> str:
--- a/src/gapdrum/transport/http_server.py
+++ b/src/gapdrum/transport/http_server.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 listener on asyncio: one protocol object a connection, parsed by httptools."""
+"""An asyncio HTTP/1.1 listener: one protocol object per connection, parsed by httptools."""
 
 import asyncio
 import ssl
@@ -10,16 +10,16 @@
 from gapdrum.timers import Timers
 from gapdrum.transport.http_messages import HttpRequest, HttpResponse, json_response
 
-SWEEP_INTERVAL_MS = 250  # how late a time-out of a connection may be noticed
-DISCARD_S = 0.5  # a refused sender may finish writing, so that it reads the answer and no reset
-BACKLOG_CONNECTIONS = 512  # bursts of new connections; a full queue costs the caller seconds
+SWEEP_INTERVAL_MS = 250  # the longest delay until a connection's time-out is noticed
+DISCARD_S = 0.5  # a rejected sender may finish writing, so that it gets the response and no reset
+BACKLOG_CONNECTIONS = 512  # for bursts of new connections; a full backlog costs callers seconds
 
 Handler = Callable[[HttpRequest], HttpResponse | Awaitable[HttpResponse]]
 
 
 @attrs.define
 class HttpLimits:
-    """Bounds on what a caller may send; they may change while connections are open."""
+    """Limits on requests and connections; they may change while connections are open."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 262_144
@@ -28,7 +28,7 @@
 
 
 class HttpListener:
-    """Accepts connections at one address and passes whole requests to a handler.
+    """Accepts connections at one address and passes complete requests to a handler.
 
     ::
 
@@ -42,12 +42,12 @@
         self.timers = timers
         self.closing = False
         self.connections: set[_Connection] = set()
-        # Told of each request that is turned away before it reaches the handler.
+        # Called for each request that is rejected before it reaches the handler.
         self.on_refused: Callable[[int, str], None] = lambda _status, _code: None
         self._server: asyncio.Server | None = None
 
     async def open(self, host: str, port: int, tls: ssl.SSLContext | None = None) -> int:
-        """Listen, and return the port; raises OSError if the address is taken."""
+        """Listen, and return the port; raises OSError if the address is in use."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: _Connection(self), host, port, backlog=BACKLOG_CONNECTIONS, ssl=tls
@@ -56,20 +56,20 @@
         return self._server.sockets[0].getsockname()[1]
 
     def close(self) -> None:
-        """Take no new connections."""
+        """Stop accepting connections."""
         self._server.close()
 
     def start_closing(self) -> None:
-        """Answer what still comes, and end each connection after its next answer."""
+        """Keep serving requests, but close each connection after its next response."""
         self.closing = True
 
     def close_idle(self) -> None:
-        """End the connections on which nothing was asked that is not answered."""
+        """Close the connections on which no request is being read or answered."""
         for connection in list(self.connections):
             connection.close_if_idle()
 
     def busy_connections(self) -> int:
-        """Return how many connections have a request without its answer."""
+        """Return how many connections have a request that is not answered yet."""
         return sum(connection.busy for connection in self.connections)
 
     def _sweep(self) -> None:
@@ -79,7 +79,7 @@
 
 
 class _Connection(asyncio.Protocol):
-    """One caller's connection; requests are answered one after the other."""
+    """One caller's connection; pipelined requests are answered in order."""
 
     def __init__(self, listener: HttpListener) -> None:
         self._listener = listener
@@ -130,9 +130,9 @@
                 self._refuse(431, "headers_too_large")
 
     def eof_received(self) -> bool:
-        """Answer a sender that has ended in the middle of a request; else end with it.
+        """Reject a request that the sender has cut short; otherwise close the connection.
 
-        One that waits for an answer may be gone: nothing may go on for it.
+        A sender that waits for a response may be gone, so its job must not go on for it.
         """
         if self.busy:
             return False
@@ -140,7 +140,7 @@
             self._refuse(400, "request_cut_short")
         return self._refused
 
-    # What the parser calls back, named as it asks for.
+    # Callbacks of the parser, under the names that httptools requires.
 
     def on_message_begin(self) -> None:
         self._reset_message()
@@ -207,7 +207,7 @@
         self._idle_since_ms = self._listener.timers.now_ms()
         if self._transport.is_closing():
             return
-        # What was read already is answered before a connection ends.
+        # Requests that were already read are answered before the connection closes.
         ends = (self._listener.closing or self._refused) and not self._waiting
         keep_alive = (self._refused or self._parser.should_keep_alive()) and not ends
         self._transport.write(response.encode(keep_alive))
@@ -217,7 +217,7 @@
             self._start(self._waiting.pop(0))
 
     def _refuse(self, status: int, code: str) -> None:
-        """Answer a request that can't be read, and end the connection without a reset.
+        """Reject a malformed request, and close the connection without a reset.
 
         Requests that were read before it on the same connection are answered first.
         """
@@ -231,7 +231,7 @@
         asyncio.get_running_loop().call_later(DISCARD_S, self._transport.close)
 
     def enforce_timeouts(self, now_ms: int) -> None:
-        """End the connection if its sender is too slow or has been idle for too long."""
+        """Close the connection if its sender is too slow or has been idle for too long."""
         limits = self._listener.limits
         if self._refused or self._transport.is_closing():
             return
@@ -243,6 +243,6 @@
             self.close_if_idle()
 
     def close_if_idle(self) -> None:
-        """End the connection if no request is being read or answered."""
+        """Close the connection if no request is being read or answered."""
         if not self.busy and not self._reading_since_ms:
             self._transport.close()
--- a/src/gapdrum/transport/metrics_listener.py
+++ b/src/gapdrum/transport/metrics_listener.py
@@ -1,4 +1,4 @@
-"""Serves a process's figures at its metrics address."""
+"""Serves the metrics of a process over HTTP."""
 
 import os
 
@@ -7,12 +7,12 @@
 from gapdrum.transport.http_messages import HttpRequest, HttpResponse
 from gapdrum.transport.http_server import HttpLimits, HttpListener
 
-# The port of the metrics address; ``deploy/system.toml`` sets it. Without it, nothing listens.
+# Names the metrics port; ``deploy/system.toml`` sets it. If it is unset, nothing listens.
 PORT_VARIABLE = "GAPDRUM_METRICS_PORT"
 
 
 async def open_metrics(host: str, measures: Measures, timers: Timers) -> None:
-    """Listen at the metrics address, if there is one; raises OSError if it is taken."""
+    """Listen on the metrics port, if one is set; raises OSError if it is in use."""
     port = os.environ.get(PORT_VARIABLE)
     if not port:
         return
