--- a/features/http_input.feature
+++ b/features/http_input.feature
@@ -1,4 +1,4 @@
-Feature: Bad input over HTTP gets a clear answer and harms nobody else
+Feature: Invalid HTTP input gets a clear response and does not affect other requests
 
   Scenario: Malformed, oversized, slow and half-closed requests
     Given a system of 1 entries and 1 runners
@@ -15,9 +15,9 @@
     When the job "h1" of 2 tasks of 50 ms is submitted to entry 0
     Then the answer is complete
 
-  Scenario: Connections that stay half-open hold up nobody else
+  Scenario: Half-open connections do not delay other requests
     Given a system of 1 entries and 1 runners
     When 400 connections send half a request line
     And the job "h2" of 1 tasks of 50 ms is submitted to entry 0
     Then the answer is complete
-    And the half-open connections have not ended before it
+    And the half-open connections are still open after it
--- a/features/other_writers.feature
+++ b/features/other_writers.feature
@@ -1,8 +1,8 @@
 Feature: Rows and heartbeats of other writers
-  An entry of the store or a heartbeat may come from another writer: fields missing, of other
-  types, unknown states, bytes that can't be read. It names no runner to use; the others hold.
+  A row of the store or a heartbeat may come from another program: with missing fields, fields of
+  other types, unknown states or undecodable bytes. It is rejected and does not affect the others.
 
-  Scenario Outline: a malformed heartbeat names no runner to use
+  Scenario Outline: a malformed heartbeat adds no runner
     Given an agent that knows the runner "i-2", which listens at its address
     When a heartbeat of "i-9" comes from another address with <field> = <value>
     Then the heartbeat was answered with 400
@@ -40,7 +40,7 @@
       | cold_left_ms | "0"                           |
       | cold_left_ms | -5                            |
 
-  Scenario Outline: a body that is no heartbeat is refused
+  Scenario Outline: a body that is not a heartbeat is rejected
     Given an agent that knows the runner "i-2", which listens at its address
     When the body <body> comes as a heartbeat of "i-9"
     Then the heartbeat was answered with 400
@@ -59,20 +59,20 @@
     Then the heartbeat was answered with 400
     And the runner "i-2" is still ready
 
-  Scenario: fields that are new are passed over
+  Scenario: unknown fields are ignored
     Given an agent that knows the runner "i-2", which listens at its address
     When a heartbeat of "i-9" comes from another address with mood = "good"
     Then the heartbeat was answered with 200
 
-  Scenario: one malformed machine does not cost the list
+  Scenario: one malformed machine does not invalidate the list
     Given a list of machines with a malformed one before the runner's
     Then the runner is found in the list
 
-  Scenario: one malformed row does not cost the others, and is logged once
+  Scenario: one malformed row does not affect the others, and is logged once
     Given a store whose answers hold malformed rows beside a good one
     When its rows are read twice
     Then the good row is read both times
-    And a row whose value can't be read stands there with no record in it
+    And a row whose value can't be decoded is returned and holds no record
     And each malformed row was logged once, with its place
 
   Scenario Outline: a lease of another writer does not stop an entry from renewing its own
@@ -87,18 +87,18 @@
       | nothing           |
       | an address record |
 
-  Scenario: an agent passes over an address that can't be read
+  Scenario: an agent ignores an undecodable address
     Given an agent whose table of addresses holds text, a lease record and a good address
     Then it connects to the good one only
 
-  Scenario: a job whose row can't be read is left alone, and the others are taken over
-    Given a store with an open job of a lost owner, and one whose row can't be read
-    When an entry takes over what has no owner
+  Scenario: a job with an undecodable row is left unchanged, and the others are taken over
+    Given a store with an open job of a lost owner, and one whose row can't be decoded
+    When an entry takes over the jobs without an owner
     Then it owns the good job only
 
-  Scenario Outline: whatever comes from outside is read or refused, and nothing else
-    When 400 inputs of any kind are given to the decoder of <input>
-    Then each was read, or refused as <refusal>
+  Scenario Outline: arbitrary input is either decoded or rejected with the expected error
+    When 400 generated inputs are given to the decoder of <input>
+    Then each was decoded, or rejected with <refusal>
 
     Examples:
       | input             | refusal                     |
--- a/features/platform_failures.feature
+++ b/features/platform_failures.feature
@@ -1,5 +1,5 @@
 Feature: the platform path under failure
-  Signals, outages of the store and faults of runners, with real processes.
+  Signals, store outages and runner faults, with real processes.
 
   Scenario: another entry finishes the stored jobs of one that was killed
     Given a platform with 2 entries and 2 agents
@@ -9,16 +9,16 @@
     Then the job "00000000000000c1" becomes "succeeded" at entry 1
     And no task ran twice at the same time
 
-  Scenario: an entry that was frozen answers what the others answer
+  Scenario: an entry that was frozen reports the same state as the others
     Given a platform with 2 entries and 2 agents
     When the stored job "00000000000000c2" of 8 tasks of 600 ms is submitted at entry 0
     And 8 tasks have started
     And process entry-0 is frozen for 9 s
     Then the job "00000000000000c2" becomes "succeeded" at entry 1
-    And the job "00000000000000c2" is not told as ended otherwise at entry 0
+    And the job "00000000000000c2" is not reported with another end at entry 0
     And no task ran twice at the same time
 
-  Scenario: a restarted entry takes its own jobs up again
+  Scenario: a restarted entry resumes its own jobs
     Given a platform with 1 entries and 2 agents
     When the stored job "00000000000000c3" of 4 tasks of 1500 ms is submitted at entry 0
     And 4 tasks have started
@@ -34,14 +34,14 @@
     Then the job "00000000000000c4" becomes "succeeded" at entry 1
     And no task ran twice at the same time
 
-  Scenario: an entry that shuts down answers the callers that wait
+  Scenario: an entry that shuts down answers its waiting callers
     Given a platform with 2 entries and 2 agents
     When the waiting job "00000000000000c5" of 2 tasks of 1500 ms is on its way at entry 0
     And 2 tasks have started
     And process entry-0 is asked to stop
     Then the waiting caller is told "succeeded"
 
-  Scenario: an entry that shuts down serves what still fits, and ends each connection
+  Scenario: an entry that shuts down serves jobs that still have time, and closes each connection
     Given a platform with 2 entries and 2 agents
     When the waiting job "00000000000000da" of 2 tasks of 4500 ms is on its way at entry 0
     And 2 tasks have started
@@ -52,7 +52,7 @@
     And entry 0 ends the connection after its next answer
     And the waiting caller is told "succeeded"
 
-  Scenario: tasks outlive a restart of the agent beside them
+  Scenario: running tasks survive a restart of their agent
     Given a platform with 2 entries and 1 agents
     When the waiting job "00000000000000c6" of 4 tasks of 3000 ms is on its way at entry 0
     And 4 tasks have started
@@ -60,7 +60,7 @@
     Then the waiting caller is told "succeeded"
     And no task ran twice at the same time
 
-  Scenario: an agent that starts anew gets work before its runner's next heartbeat
+  Scenario: a restarted agent gets work before its runner's next heartbeat
     Given a platform with 1 entries and 1 agents
     When runner 0 sends no heartbeats
     And process agent-0 is killed and started again
@@ -93,14 +93,14 @@
     Then the job "00000000000000dd" becomes "succeeded" at entry 0
     And no task ran twice at the same time
 
-  Scenario: tasks of a runner that crashed are placed anew
+  Scenario: tasks of a crashed runner are placed again
     Given a platform with 1 entries and 2 agents
     When the waiting job "00000000000000c9" of 12 tasks of 800 ms is on its way at entry 0
     And 12 tasks have started
     And process runner-0 is killed
     Then the waiting caller is told "succeeded"
 
-  Scenario Outline: orders that the runner leaves unanswered do not double a task
+  Scenario Outline: calls that the runner leaves unanswered do not make a task run twice
     Given a platform with 1 entries and 1 agents
     When runner 0 leaves 3 calls <fault>
     And the waiting job "00000000000000d1" of 4 tasks of 300 ms is submitted at entry 0
@@ -113,23 +113,23 @@
       | unanswered                             |
       | unanswered and carries them out late   |
 
-  Scenario: tasks whose starts are carried out and the answers lost run once, where they are
+  Scenario: tasks whose starts take effect but whose replies are lost run once, on the same runner
     Given a platform with 1 entries and 2 agents
-    When runner 0 carries 5 calls out and loses the answers
+    When runner 0 executes 5 calls and loses the replies
     And the waiting job "00000000000000d9" of 8 tasks of 300 ms is submitted at entry 0
     Then the answer tells the state "succeeded"
     And each of the 8 tasks of "00000000000000d9" was started once
     And the room of no runner was exceeded
     And no runner was suspected
 
-  Scenario: a task that stands still is placed anew
+  Scenario: a stalled task is placed again
     Given a platform with 1 entries and 2 agents
-    When runner 0 lets 2 tasks stand still
+    When runner 0 stalls 2 tasks
     And the waiting job "00000000000000d2" of 8 tasks of 200 ms is submitted at entry 0
     Then the answer tells the state "succeeded"
     And no task ran twice at the same time
 
-  Scenario: without the store, callers that wait are served and stored jobs refused at once
+  Scenario: without the store, waiting callers are served and durable jobs rejected at once
     Given a platform with 2 entries and 2 agents
     When the store is in "outage"
     And the store's outage is noticed by entry 0
@@ -137,27 +137,27 @@
     Then the answer has status 503
     When the waiting job "00000000000000d4" of 2 tasks of 10 ms is submitted at entry 0
     Then the answer tells the state "succeeded"
-    When the store is well again
-    Then nobody knows the job "00000000000000d3" at entry 1
+    When the store has recovered
+    Then the job "00000000000000d3" is unknown at entry 1
 
-  Scenario: an accepted job runs on while the store is away, and its end is told after
+  Scenario: an accepted job continues while the store is unavailable, and its end is reported afterwards
     Given a platform with 2 entries and 2 agents
     When the stored job "00000000000000d5" of 4 tasks of 300 ms is submitted at entry 0
     And the store is in "outage"
     And 4 tasks have ended
-    And the store is well again
+    And the store has recovered
     Then the job "00000000000000d5" becomes "succeeded" at entry 0
     And each task of "00000000000000d5" was started 1 time
 
-  Scenario: an insert whose answer is lost is settled, and the job runs once
+  Scenario: an insert whose reply is lost is resolved, and the job runs once
     Given a platform with 2 entries and 2 agents
     When the store is in "lost" for 1 calls that write a job
     And the stored job "00000000000000d6" of 3 tasks of 50 ms is submitted at entry 0
-    And the store is well again
+    And the store has recovered
     Then the job "00000000000000d6" becomes "succeeded" at entry 1
     And each task of "00000000000000d6" was started 1 time
 
-  Scenario: a claim whose answer is lost is found again, and the job ends
+  Scenario: a claim whose reply is lost is recognized, and the job ends
     Given a platform with 2 entries and 2 agents
     When the stored job "00000000000000d9" of 4 tasks of 1500 ms is submitted at entry 0
     And 4 tasks have started
@@ -166,14 +166,14 @@
     Then the job "00000000000000d9" becomes "succeeded" at entry 1
     And no task ran twice at the same time
 
-  Scenario: the feed's history is forgotten and a configuration still comes into force
+  Scenario: a configuration takes effect although the feed has dropped its history
     Given a platform with 2 entries and 2 agents
     When the store is in "forget"
-    And the store is well again
+    And the store has recovered
     And version 3 of the configuration adds the queue "/news/"
     Then the stored job "00000000000000d7" is soon accepted in the queue "/news/"
 
-  Scenario: all processes are killed at once, and accepted jobs end without anyone asking
+  Scenario: all processes are killed at once, and accepted jobs end without a further request
     Given a platform with 2 entries and 2 agents
     When the stored job "00000000000000d8" of 6 tasks of 1500 ms is submitted at entry 0
     And 6 tasks have started
--- a/features/platform_path.feature
+++ b/features/platform_path.feature
@@ -1,6 +1,6 @@
 Feature: the whole path on the users' platform
-  Entries, agents and stand-ins of the platform run as processes. Runners tell every start and
-  end, so that each scenario can check that no task ran twice at the same time.
+  Entries, agents and stand-ins of the platform run as processes. Runners record every start
+  and end, so that each scenario can check that no task ran twice at the same time.
 
   Background:
     Given a platform with 2 entries and 2 agents
@@ -11,9 +11,9 @@
     And the job "00000000000000a1" becomes "succeeded" at entry 0
     And the job "00000000000000a1" becomes "succeeded" at entry 1
     And each task of "00000000000000a1" was started 1 time
-    And nobody knows the job "00000000000000a2" at entry 1
+    And the job "00000000000000a2" is unknown at entry 1
 
-  Scenario: a caller that waits gets the end of its job
+  Scenario: a waiting caller gets the final state of its job
     When the waiting job "00000000000000a3" of 4 tasks of 60 ms is submitted at entry 1
     Then the answer has status 200
     And the answer tells the state "succeeded"
@@ -24,14 +24,14 @@
     Then the answer tells the state "failed"
     And no task of "00000000000000a4" was started more than 3 times
 
-  Scenario: a job that is sent again at another entry stays one job
+  Scenario: a job that is resubmitted at another entry stays one job
     When the stored job "00000000000000a5" of 3 tasks of 100 ms is submitted at entry 0
     And the stored job "00000000000000a5" of 3 tasks of 100 ms is submitted at entry 1
     Then the answer has status 200
     And the job "00000000000000a5" becomes "succeeded" at entry 1
     And each task of "00000000000000a5" was started 1 time
 
-  Scenario: a queue that no configuration names is unknown, and one that is added is in force
+  Scenario: a queue outside the configuration is unknown, and an added one is served
     When the stored job "00000000000000a6" of 1 tasks of 10 ms goes to the queue "/news/"
     Then the answer has status 404
     When version 2 of the configuration adds the queue "/news/"
@@ -64,14 +64,14 @@
     And the waiting caller is told "cancelled"
     And soon nothing runs
 
-  Scenario: what a caller no longer waits for is stopped
+  Scenario: a job whose caller disconnects is stopped
     When the waiting job "00000000000000b2" of 3 tasks of 5000 ms is sent by one who leaves
     Then soon nothing runs
 
-  Scenario Outline: bad input is refused and nothing of it accepted
+  Scenario Outline: invalid input is rejected and none of it accepted
     When the body <body> is submitted as job "00000000000000b3"
     Then the answer has status <status>
-    And nobody knows the job "00000000000000b3" at entry 0
+    And the job "00000000000000b3" is unknown at entry 0
 
     Examples:
       | body                                                             | status |
@@ -87,7 +87,7 @@
       | {"spec":"{}","steps":[{"count":1,"gang":true}]}                  | 501    |
       | {"spec":"{}","steps":[{"count":1}],"times":3}                    | 501    |
 
-  Scenario: oversized and slow requests end without harm to others
+  Scenario: oversized and slow requests are rejected without effect on others
     When a body of 100000 bytes is submitted as job "00000000000000b4"
     Then the answer has status 413
     When a request's header never ends
@@ -95,7 +95,7 @@
     When the waiting job "00000000000000b5" of 1 tasks of 10 ms is submitted at entry 0
     Then the answer tells the state "succeeded"
 
-  Scenario: steps follow each other
+  Scenario: the steps of a job run in order
     When a stored job "00000000000000b6" has a step of 2 tasks after a step of 3 tasks
     Then the job "00000000000000b6" becomes "succeeded" at entry 0
     And no task of step 1 of "00000000000000b6" started before all of step 0 were done
--- a/features/platform_zone_drains.feature
+++ b/features/platform_zone_drains.feature
@@ -1,5 +1,5 @@
 Feature: the platform path while availability zones are drained
-  Real processes, and what runners have seen of starts since the zone was drained.
+  Real processes; runners record every start, which shows the starts since a drain.
 
   Scenario: nothing starts in a drained zone until it is restored, and what runs there ends
     Given a platform with 2 entries and 3 agents
@@ -45,7 +45,7 @@
     And stored jobs come without pause for 3000 ms
     Then no task has started in "moka-hall" since it was drained
 
-  Scenario: the store is away while a zone is drained, and agents start then
+  Scenario: an agent restarts while a zone is drained and the store is unavailable
     Given a platform with 2 entries and 3 agents
     When operators drain the zones "moka-hall"
     And entries and agents know of it
@@ -55,7 +55,7 @@
     Then no task has started in "moka-hall" since it was drained
     And tasks have started elsewhere since then
 
-  Scenario: an agent that the store does not serve hears of a drain from entries
+  Scenario: an agent that is cut off from the store learns of a drain from entries
     Given a platform with 2 entries and 3 agents, of which agent 1 is cut off from the store
     When operators drain the zones "moka-hall"
     And entries know of it
@@ -63,12 +63,12 @@
     Then agent 1 was told of the drain by an entry
     And no task has started in "moka-hall" since it was drained
 
-  Scenario: an entry that the store does not serve hears of a drain from agents
+  Scenario: an entry that is cut off from the store learns of a drain from agents
     Given a platform with 2 entries and 3 agents, of which entry 1 is cut off from the store
     When operators drain the zones "moka-hall"
     Then entry 1 is told of the drain by an agent
 
-  Scenario: agents learn of a drain where no entry of theirs hears of it
+  Scenario: agents learn of a drain from the operators' table if their entry is cut off from the store
     Given a platform with 1 entries and 3 agents, of which entry 0 is cut off from the store
     When operators drain the zones "moka-hall"
     Then an agent learns of the drain from the operators' table, and all are told
--- a/features/steps/http_steps.py
+++ b/features/steps/http_steps.py
@@ -1,4 +1,4 @@
-"""Steps that send broken HTTP requests."""
+"""Steps that send invalid HTTP requests."""
 
 import json
 import socket
@@ -71,7 +71,7 @@
         context.half_open.append(connection)
 
 
-@then("the half-open connections have not ended before it")
+@then("the half-open connections are still open after it")
 def still_open(context):
     for connection in context.half_open:
         connection.setblocking(False)
@@ -79,4 +79,4 @@
             ended = connection.recv(1)
         except BlockingIOError:
             continue
-        raise AssertionError(f"a connection was ended: {ended}")
+        raise AssertionError(f"a half-open connection was closed: {ended}")
--- a/features/steps/other_writer_steps.py
+++ b/features/steps/other_writer_steps.py
@@ -1,4 +1,4 @@
-"""Steps on rows and heartbeats of other writers: each is judged by itself, at the edge."""
+"""Steps on rows and heartbeats of other programs, which are validated one by one on arrival."""
 
 import asyncio
 import json
@@ -12,7 +12,7 @@
 from hypothesis import HealthCheck, Phase, settings
 from hypothesis import given as for_all
 from platform_core_steps import FakeStore, new_lease, new_log
-from silence_steps import ADDRESS, HOST, new_registry, take
+from silence_steps import ADDRESS, HOST, new_registry, post_heartbeat
 
 from gapdrum.agent.entry_directory import EntryDirectory
 from gapdrum.agent.entry_links import EntryLinks
@@ -51,7 +51,7 @@
 
 OTHER_ADDRESS = f"{HOST}:2"
 STORE = Endpoint(HOST, 1)
-GOOD_BEAT = {
+GOOD_HEARTBEAT = {
     "service": "workers",
     "address": OTHER_ADDRESS,
     "zone": "zone-1",
@@ -69,19 +69,19 @@
 # Heartbeats.
 
 
-def beat_of(runner, body):
+def heartbeat_request(runner, body):
     return HttpRequest("POST", f"/Instances.Heartbeat/{runner}", {}, body, 0, None)
 
 
-def play_bodies(context, *beats):
-    """Hand heartbeats to an agent that knows the runner "i-2"; note the last answer's status."""
+def play_bodies(context, *heartbeats):
+    """Send heartbeats to an agent that knows the runner "i-2"; record the last status."""
 
     async def play():
         registry = new_registry(context, ["i-2"])
-        known = {**GOOD_BEAT, "address": ADDRESS}
-        await take(registry, beat_of("i-2", json.dumps(known).encode()))
-        for runner, body in beats:
-            context.status = await take(registry, beat_of(runner, body))
+        known = {**GOOD_HEARTBEAT, "address": ADDRESS}
+        await post_heartbeat(registry, heartbeat_request("i-2", json.dumps(known).encode()))
+        for runner, body in heartbeats:
+            context.status = await post_heartbeat(registry, heartbeat_request(runner, body))
         context.known = list(context.controllers)
         context.lines = [json.loads(line) for line in registry._log._lines]
 
@@ -90,7 +90,7 @@
 
 @when('a heartbeat of "{runner}" comes from another address with {field} = {value}')
 def odd_heartbeat(context, runner, field, value):
-    body = dict(GOOD_BEAT)
+    body = dict(GOOD_HEARTBEAT)
     if value == "missing":
         del body[field]
     else:
@@ -100,7 +100,7 @@
 
 @when('a heartbeat of "{runner}" comes with the state "{state}"')
 def odd_state(context, runner, state):
-    body = {**GOOD_BEAT, "address": ADDRESS, "state": state, "sequence": 5}
+    body = {**GOOD_HEARTBEAT, "address": ADDRESS, "state": state, "sequence": 5}
     play_bodies(context, (runner, json.dumps(body).encode()))
 
 
@@ -126,7 +126,7 @@
     assert field in rejected[0]["reason"], rejected
 
 
-# Answers of the store and of runners.
+# Replies of the store and of the machine list.
 
 
 @given("a list of machines with a malformed one before the runner's")
@@ -142,7 +142,7 @@
 
 
 class FixedClient:
-    """Answers each call with the same body."""
+    """Replies to each call with the same body."""
 
     def __init__(self, body, status=200):
         self.body = body
@@ -185,7 +185,7 @@
         assert {row.at.key: row.value for row in page.rows}["good"] == b"good", page
 
 
-@then("a row whose value can't be read stands there with no record in it")
+@then("a row whose value can't be decoded is returned and holds no record")
 def unreadable_row(context):
     for row in context.pages[0].rows:
         if row.at.key in ("bytes", "version"):
@@ -200,7 +200,7 @@
 
 
 def refusal_of(call):
-    """Return the class of the error that a call ends with, None if it ends well."""
+    """Return the class of the error that a call raises, None if it raises none."""
     try:
         call()
     except Exception as error:
@@ -279,7 +279,7 @@
 GOOD_JOB, ODD_JOB = "00000000000000a0", "00000000000000b0"
 
 
-@given("a store with an open job of a lost owner, and one whose row can't be read")
+@given("a store with an open job of a lost owner, and one whose row can't be decoded")
 def odd_jobs(context):
     context.store = FakeStore()
     puts = (
@@ -289,7 +289,7 @@
     context.store.apply(Transaction(puts=puts))
 
 
-@when("an entry takes over what has no owner")
+@when("an entry takes over the jobs without an owner")
 def take_over(context):
     timers = ManualTimers()
     log = new_log(timers)
@@ -323,7 +323,7 @@
     assert context.taken == [GOOD_JOB], context.taken
 
 
-# Inputs of any kind.
+# Generated inputs.
 
 
 NUMBERS = st.integers() | st.floats()
@@ -337,14 +337,14 @@
 )
 
 
-def spoiled(document):
-    """Return documents that differ from a good one in a field or two, also deeper inside."""
+def mutated(document):
+    """Return a strategy for documents that differ from a valid one in some fields, nested too."""
     if isinstance(document, dict) and document:
         return st.fixed_dictionaries(
-            {}, optional={name: spoiled(value) for name, value in document.items()}
+            {}, optional={name: mutated(value) for name, value in document.items()}
         )
     if isinstance(document, list) and document:
-        return st.lists(st.one_of(map(spoiled, document)), max_size=len(document) + 1) | VALUES
+        return st.lists(st.one_of(map(mutated, document)), max_size=len(document) + 1) | VALUES
     return st.just(document) | st.just(document) | VALUES
 
 
@@ -389,7 +389,7 @@
     "steps": [{"count": 2, "cpu": 500, "after": [], "requires": "a"}],
     "best_effort": True,
 }
-GOOD_LOOK = {
+GOOD_POLL_REPLY = {
     "clock_ms": 5,
     "running": [["5c0e7a21d94b36f8.0.1.17", 2, "", 41, 0]],
     "ended": [[58, "5c0e7a21d94b36f8.0.1.9", 1, "done", ""]],
@@ -427,28 +427,28 @@
 
 
 DECODERS = {
-    "heartbeats": (lambda body: decode_heartbeat("i-2", body), as_json(spoiled(GOOD_BEAT))),
+    "heartbeats": (lambda body: decode_heartbeat("i-2", body), as_json(mutated(GOOD_HEARTBEAT))),
     "machines": (
         lambda body: decode_page(HttpReply(200, {}, body).document(), "i-2"),
-        spoiled(GOOD_MACHINES).map(lambda document: json.dumps(document).encode()),
+        mutated(GOOD_MACHINES).map(lambda document: json.dumps(document).encode()),
     ),
-    "rows": (read_rows, as_json(spoiled(GOOD_ROWS))),
+    "rows": (read_rows, as_json(mutated(GOOD_ROWS))),
     "configurations": (
         lambda body: decode_configuration(Row(CONFIGURATION_ROW, body, 1)),
-        as_json(spoiled(GOOD_CONFIGURATION)),
+        as_json(mutated(GOOD_CONFIGURATION)),
     ),
-    "jobs": (decode_job, as_json(spoiled(GOOD_JOB_BODY))),
-    "looks": (poll, as_json(spoiled(GOOD_LOOK))),
+    "jobs": (decode_job, as_json(mutated(GOOD_JOB_BODY))),
+    "looks": (poll, as_json(mutated(GOOD_POLL_REPLY))),
     "records": (
         load_any,
-        st.one_of([spoiled(plain(record)) for record in RECORDS]).map(
+        st.one_of([mutated(plain(record)) for record in RECORDS]).map(
             lambda value: (
                 msgpack.packb(value, unicode_errors="surrogatepass") if not has_huge(value) else b""
             )
         )
         | st.binary(max_size=60),
     ),
-    "stream frames": (decode, VALUES | st.one_of([spoiled(plain(one)) for one in RECORDS])),
+    "stream frames": (decode, VALUES | st.one_of([mutated(plain(one)) for one in RECORDS])),
 }
 REFUSALS = {
     "ValueError": (ValueError,),
@@ -461,7 +461,7 @@
 
 
 def has_huge(value):
-    """Tell whether a value holds an integer that msgpack can't write."""
+    """Tell whether a value contains an integer that msgpack can't encode."""
     if isinstance(value, dict):
         return any(map(has_huge, value.values()))
     if isinstance(value, list):
@@ -469,7 +469,7 @@
     return isinstance(value, int) and not -(2**63) <= value < 2**64
 
 
-@when("{count:d} inputs of any kind are given to the decoder of {name}")
+@when("{count:d} generated inputs are given to the decoder of {name}")
 def any_inputs(context, count, name):
     call, inputs = DECODERS[name]
     context.found = []
@@ -492,7 +492,7 @@
     play()
 
 
-@then("each was read, or refused as {refusal}")
+@then("each was decoded, or rejected with {refusal}")
 def refused_well(context, refusal):
     odd = [(one, value) for one, value in context.found if not isinstance(one, REFUSALS[refusal])]
     assert not odd, (len(odd), repr(odd[0][0]), odd[0][1])
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -24,7 +24,7 @@
     context.system.__enter__()
     context.threads = ThreadPoolExecutor(CALLERS)
     context.add_cleanup(context.threads.shutdown, wait=False)
-    # Agents find their runners within a second; a first job shows that they take work.
+    # Agents find their runners within a second; a first job shows that they accept work.
     for entry in range(entries):
         answer = context.system.submit(
             f"ffffffffffffff{entry:02d}",
@@ -116,7 +116,7 @@
 
 @then('the stored job "{job}" is still accepted in the queue "{queue}"')
 def accepted_still(context, job, queue):
-    time.sleep(0.5)  # longer than the feed takes to bring a change
+    time.sleep(0.5)  # longer than the feed takes to deliver a change
     status, _ = context.system.submit(job, steps_of(1), queue=queue)
     assert status == 200, status
 
@@ -189,7 +189,7 @@
     assert first >= last, (first, last)
 
 
-# What is done to processes.
+# Faults of processes, runners and the store.
 
 
 def processes_of(context, kind):
@@ -264,7 +264,7 @@
     context.system.set_runner_fault(number, mode="late", count=count, delay_ms=2_000)
 
 
-@when("runner {number:d} carries {count:d} calls out and loses the answers")
+@when("runner {number:d} executes {count:d} calls and loses the replies")
 def lose_answers(context, number, count):
     context.system.set_runner_fault(number, mode="late", count=count, delay_ms=0)
 
@@ -282,7 +282,7 @@
         assert not context.system.events(f"agent-{number}", "runner_suspect")
 
 
-@when("runner {number:d} lets {count:d} tasks stand still")
+@when("runner {number:d} stalls {count:d} tasks")
 def let_hang(context, number, count):
     context.system.set_runner_fault(number, mode="hang", count=count)
 
@@ -322,17 +322,17 @@
     context.system.set_store_fault(mode="lost", count=count, table="open")
 
 
-@when("the store is well again")
+@when("the store has recovered")
 def heal_store(context):
     context.system.set_store_fault()
 
 
 @when("the store's outage is noticed by entry {entry:d}")
 def outage_noticed(context, entry):
-    wait_for(lambda: context.system.events(f"entry-{entry}", "store_lost"), "the outage is seen")
+    wait_for(lambda: context.system.events(f"entry-{entry}", "store_lost"), "the outage is noticed")
 
 
-# What is seen.
+# Observations.
 
 
 def count_rows(context, *hows):
@@ -376,7 +376,7 @@
     wait_for(lambda: context.system.state(job, entry) == state, f"{job} {state} at {entry}")
 
 
-@then('the job "{job}" is not told as ended otherwise at entry {entry:d}')
+@then('the job "{job}" is not reported with another end at entry {entry:d}')
 def job_told_same(context, job, entry):
     context.frozen[1].join()
     wait_for(lambda: context.system.state(job, entry) == "succeeded", f"{job} at {entry}")
@@ -384,7 +384,7 @@
         assert row["request"] != job or row["state"] == "succeeded", row
 
 
-@then('nobody knows the job "{job}" at entry {entry:d}')
+@then('the job "{job}" is unknown at entry {entry:d}')
 def job_unknown(context, job, entry):
     wait_for(lambda: context.system.state(job, entry) != "503", "the entry reads the store")
     assert context.system.state(job, entry) == "410", context.system.state(job, entry)
@@ -418,7 +418,7 @@
 
 
 def list_running(context):
-    """Return the runs at work, and fail if a task ran twice at the same time."""
+    """Return the active runs; fail if a task ran twice at the same time."""
     running = {}
     for row in context.system.history():
         if row["how"] == "started":
--- a/features/steps/silence_steps.py
+++ b/features/steps/silence_steps.py
@@ -1,4 +1,4 @@
-"""Steps on connections that go silent, and on heartbeats that come late."""
+"""Steps on connections that go silent, and on heartbeats that arrive late."""
 
 import asyncio
 import json
@@ -35,7 +35,7 @@
 
 
 class SilencingServer:
-    """Answers each request; connections in ``silent`` hear nothing any more."""
+    """Replies to each request, except on the connections in ``silent``."""
 
     def __init__(self):
         self.writers = []
@@ -64,7 +64,7 @@
     return True
 
 
-@given("a server that knows {count:d} connections of a client")
+@given("a server with {count:d} open connections of a client")
 def known_connections(context, count):
     context.count = count
 
@@ -103,7 +103,7 @@
         )
         silent_call = asyncio.create_task(call(client))
         await asyncio.sleep(CALL_TIMEOUT_MS / 2_000)
-        # All others are heard of while the silent one is waited for.
+        # The others receive replies while the call on the silent one still waits.
         await asyncio.gather(*(call(client) for _ in range(context.count - 1)))
         assert not await silent_call
         await asyncio.gather(*(call(client) for _ in range(context.count - 1)))
@@ -118,7 +118,7 @@
 
 
 class FakeStream:
-    """Takes messages, and notes that it was closed."""
+    """Ignores messages, and records that it was closed."""
 
     def __init__(self):
         self.closed = False
@@ -143,9 +143,9 @@
     context.links.beat()
 
 
-@when("it hears nothing of the entry for {silent_ms:d} ms")
-def hears_nothing(context, silent_ms):
-    # What came before is read by now.
+@when("it receives nothing from the entry for {silent_ms:d} ms")
+def receive_nothing(context, silent_ms):
+    # Earlier messages have been read by now.
     context.link.heard_ms = context.timers.now_ms()
     context.grants.note(OWNER, context.timers.now_ms(), True)
     for _ in range(silent_ms // BEAT_MS):
@@ -153,20 +153,20 @@
         context.links.beat()
 
 
-@when("the agent stands still for {time_ms:d} ms")
-def stands_still(context, time_ms):
+@when("the agent is suspended for {time_ms:d} ms")
+def suspend_agent(context, time_ms):
     context.timers.time_ms += time_ms
     context.links.beat()
 
 
-@then("the stream is cut, while the entry's grant still lasts")
+@then("the stream is closed while the entry's grant is still valid")
 def stream_cut(context):
     assert context.link.stream.closed
     for durable in (False, True):
         assert context.timers.now_ms() < context.grants.until_ms(OWNER, durable)
 
 
-@then("the stream is not cut")
+@then("the stream is not closed")
 def stream_kept(context):
     assert not context.link.stream.closed
 
@@ -200,7 +200,7 @@
 def new_registry(context, listening):
     async def identify(_address, _timeout_ms):
         if listening[0] is None:
-            raise NoReplyError("nobody answers")
+            raise NoReplyError("nothing answers")
         return listening[0]
 
     timers = Timers()
@@ -218,23 +218,23 @@
     )
 
 
-async def take(registry, request):
-    """Hand a request in; return the answer's status."""
+async def post_heartbeat(registry, request):
+    """Send a heartbeat request to the registry; return the response's status."""
     result = registry.handle(request)
     response = await result if asyncio.iscoroutine(result) else result
     return response.status
 
 
-def play_heartbeats(context, listening, *beats):
-    """Let the registry know i-2, and take heartbeats while another listens at its address."""
+def play_heartbeats(context, listening, *requests):
+    """Register i-2, then send heartbeats while ``listening`` is at its address."""
 
     async def run():
         now_listening = ["i-2"]
         registry = new_registry(context, now_listening)
-        assert await take(registry, heartbeat("i-2")) == 200
+        assert await post_heartbeat(registry, heartbeat("i-2")) == 200
         now_listening[0] = listening
-        for beat in beats:
-            context.status = await take(registry, beat)
+        for request in requests:
+            context.status = await post_heartbeat(registry, request)
         context.known = [
             name for name, controller in context.controllers.items() if not controller.ledger.gone
         ]
@@ -260,15 +260,15 @@
     play_heartbeats(context, runner, heartbeat(runner))
 
 
-@when('nobody answers there, and a heartbeat of "{runner}" comes')
+@when('nothing answers there, and a heartbeat of "{runner}" comes')
 def unverified(context, runner):
     play_heartbeats(context, None, heartbeat(runner))
 
 
 @when("its heartbeat {newer:d} says that it drains, and its heartbeat {older:d} comes after that")
 def overtaken(context, newer, older):
-    beats = heartbeat("i-2", newer, "draining"), heartbeat("i-2", older)
-    play_heartbeats(context, "i-2", *beats)
+    requests = heartbeat("i-2", newer, "draining"), heartbeat("i-2", older)
+    play_heartbeats(context, "i-2", *requests)
 
 
 @then('the runners that the agent knows are "{names}"')
@@ -277,7 +277,7 @@
 
 
 @then("the heartbeat was answered with {status:d}")
-def beat_status(context, status):
+def heartbeat_status(context, status):
     assert context.status == status, context.status
 
 
@@ -287,7 +287,7 @@
 
 
 class QuietOutside:
-    """Takes what decisions lead to, and does nothing."""
+    """Ignores the effects of decisions."""
 
     def __getattr__(self, _name):
         return lambda *_args, **_fields: None
@@ -317,13 +317,13 @@
     asyncio.run(run())
 
 
-@then("asyncio has no errors to tell of")
+@then("asyncio reports no errors")
 def no_errors(context):
     assert not context.errors, context.errors
 
 
-class AwayStore:
-    """Turns all reads away until it is back; then it names one entry."""
+class UnavailableStore:
+    """Rejects all reads until it is back; then it returns its rows."""
 
     def __init__(self):
         self.rows = ()
@@ -338,13 +338,13 @@
         await asyncio.Event().wait()
 
 
-@given("an entry that listens for agents, and a store that is away")
+@given("an entry that listens for agents, and a store that is unavailable")
 def entry_and_away_store(context):
     context.streams = []
 
 
 async def start_entry(context, timers):
-    """Listen as an entry; each stream that an agent opens is noted."""
+    """Listen as an entry, and record each stream that an agent opens."""
     counts = Counter()
     links = AgentLinks(timers, EventLog("entry-1", timers), counts, counts)
     links.dispatch = build_dispatch("zone", QuietOutside(), lambda: True, 0)
@@ -366,7 +366,7 @@
         entry, port = await start_entry(context, timers)
         gone = EntryAddress("", "", "127.0.0.2", port)
         seeds = (EntryAddress("", "", HOST, port), gone)
-        store = AwayStore()
+        store = UnavailableStore()
         log = EventLog("agent-1", timers)
         links = EntryLinks(
             lambda: orders.AgentGreeting("agent-1", "life", "zone", 1), timers, log, counts, counts
@@ -392,7 +392,7 @@
         if is_true():
             return
         await asyncio.sleep(0.01)
-    raise AssertionError("waited in vain")
+    raise AssertionError("condition not met within 3 s")
 
 
 @then("the agent joins the entry")
@@ -400,7 +400,7 @@
     assert context.joined == 1, context.joined
 
 
-@when("the store returns and names the entry")
+@when("the store is available again and lists the entry")
 def store_returned(context):
     pass
 
@@ -410,6 +410,6 @@
     assert context.connected == 1 and len(context.streams) == 1, context.streams
 
 
-@then("it knows the entry by its name alone")
+@then("it knows the entry only by its name")
 def known_by_name(context):
     assert context.names == ["entry-1"], context.names
