--- a/src/gapdrum/budgets.py
+++ b/src/gapdrum/budgets.py
@@ -7,7 +7,7 @@
 
 @attrs.define
 class TokenBucket:
-    """A budget that refills with time; ``rate_per_s`` may be changed at any time.
+    """A token bucket; ``rate_per_s`` may be changed at any time.
 
     ::
 
@@ -21,7 +21,7 @@
     updated_at_ms: int = attrs.field(init=False, default=0)
 
     def __attrs_post_init__(self) -> None:
-        """Start full."""
+        """Start with a full bucket."""
         self.level = self.burst
 
     def take(self, amount: float, now_ms: int) -> bool:
@@ -33,7 +33,7 @@
         return True
 
     def wait_ms(self, amount: float, now_ms: int) -> int:
-        """Return how long until so many tokens are there."""
+        """Return how long until so many tokens are available."""
         self._refill(now_ms)
         missing = max(0.0, amount - self.level)
         return int(missing / self.rate_per_s * MS_PER_S) + 1 if missing else 0
@@ -47,10 +47,10 @@
 
 @attrs.define
 class RatioBudget:
-    """A budget that each ordinary event feeds with a fraction: extra work stays in proportion.
+    """A budget that limits extra work, such as retries, to a percentage of ordinary events.
 
-    With ``percent`` 10, ten first starts earn one retry; ``floor`` is what a
-    quiet system may spend at once, enough for the tasks of two lost runners.
+    With ``percent`` 10, ten first starts earn one retry; ``floor`` is what an
+    idle system may spend at once, enough for the tasks of two lost runners.
     """
 
     percent: int
@@ -63,11 +63,11 @@
         self.level = self.floor
 
     def earn(self, events: int = 1) -> None:
-        """Note ordinary events."""
+        """Credit ordinary events."""
         self.level = min(self.ceiling, self.level + events * self.percent / 100)
 
     def spend(self) -> bool:
-        """Take one extra if the budget allows; return whether it does."""
+        """Spend one unit if the budget allows; return whether it did."""
         if self.percent == 0 or self.level < 1:
             return False
         self.level -= 1
--- a/src/gapdrum/claims.py
+++ b/src/gapdrum/claims.py
@@ -1,6 +1,6 @@
-"""Claims: the one row per job that says which entry owns it, and under which epoch.
+"""Claim rows: one row per job that states which entry owns it, and under which epoch.
 
-The rules are pure; ``Claims`` carries them out through group commit.
+The rules do no I/O; ``Claims`` reads and writes the rows through group commit.
 """
 
 import enum
@@ -20,7 +20,7 @@
 
 @attrs.frozen
 class Owner:
-    """One life of an entry process."""
+    """One incarnation of an entry."""
 
     entry_id: str
     incarnation: str
@@ -30,8 +30,8 @@
 class Claim:
     """The claim row of a job.
 
-    ``roster`` names all agents that may hold its tasks.  A ``closed`` job is
-    never placed again, so that "not run" stays true once it was answered.
+    ``roster`` lists all agents that may hold its tasks.  A ``closed`` job is
+    never placed again, so an answer of "not run" stays true.
     """
 
     job_id: str
@@ -50,7 +50,7 @@
 
 
 class ClaimAction(enum.Enum):
-    """What an entry is to do about a claim that it finds."""
+    """What an entry must do about an existing claim."""
 
     CONFLICT = "conflict"
     FOLLOW = "follow"
@@ -60,10 +60,10 @@
 def decide_claim_action(
     claim: Claim, body_hash: str | None, owner_alive: bool, me: Owner, known_here: bool
 ) -> ClaimAction:
-    """Return the stance towards a claim; ``body_hash`` is None for a mere fetch.
+    """Return the action for a claim; ``body_hash`` is None for a fetch.
 
-    A claim of this very process that it does not know any more is taken over
-    like a dead owner's, since it may have been forgotten after its retention.
+    A claim of this incarnation whose job it no longer knows is taken over like
+    a dead owner's, since the job may have been evicted after its retention.
     """
     if body_hash is not None and claim.body_hash != body_hash:
         return ClaimAction.CONFLICT
@@ -94,7 +94,7 @@
 
 @attrs.frozen
 class VersionedClaim:
-    """A claim with the version of its row, for the next compare-and-set."""
+    """A claim and the version of its row, which the next compare-and-set expects."""
 
     claim: Claim
     version: int
@@ -107,22 +107,22 @@
         self._committer = committer
 
     async def insert(self, claim: Claim, timeout_ms: int) -> VersionedClaim:
-        """Insert a claim if there is none; return it, or the one that is there.
+        """Insert a claim if the job has none; return it, or the existing one.
 
-        Raises StoreError if it certainly was not inserted and
-        StoreOutcomeUnknownError if that is not settled.
+        Raises StoreError if it was certainly not inserted and
+        StoreOutcomeUnknownError if the outcome is not known.
         """
         return await self._write(claim, ABSENT, timeout_ms)
 
     async def replace(self, held: VersionedClaim, claim: Claim, timeout_ms: int) -> VersionedClaim:
-        """Replace a claim by compare-and-set; return the claim that stands after it."""
+        """Replace a claim by compare-and-set; return the claim in force after it."""
         return await self._write(claim, held.version, timeout_ms)
 
     async def read(self, job_id: str) -> VersionedClaim | None:
         """Return the claim of a job, None if there is none; raises StoreError."""
         key = KEY_PREFIX + job_id
         row = (await self._committer.read([key]))[key]
-        return _hold(row) if row is not None else None
+        return _decode_claim(row) if row is not None else None
 
     async def _write(self, claim: Claim, expected_version: int, timeout_ms: int) -> VersionedClaim:
         key = KEY_PREFIX + claim.job_id
@@ -133,9 +133,9 @@
             row = error.rows[key]
             if row is None:
                 return await self.insert(claim, timeout_ms)
-            return _hold(row)
+            return _decode_claim(row)
         return VersionedClaim(claim, expected_version + 1)
 
 
-def _hold(row: Row) -> VersionedClaim:
+def _decode_claim(row: Row) -> VersionedClaim:
     return VersionedClaim(structure(row.value, Claim), row.version)
--- a/src/gapdrum/dispatcher.py
+++ b/src/gapdrum/dispatcher.py
@@ -1,4 +1,4 @@
-"""The core of an entry: takes submissions to their answers and recovers those of others."""
+"""The core of an entry: answers submissions and recovers jobs of other entries."""
 
 import asyncio
 import json
@@ -50,7 +50,7 @@
 class Dispatcher:
     """Owns the jobs that were submitted here, or taken over from dead owners.
 
-    Every coroutine runs on the entry's loop::
+    All coroutines run on the entry's event loop::
 
         answer = await dispatcher.submit(submission)
     """
@@ -97,7 +97,7 @@
     # -- callers ---------------------------------------------------------
 
     async def submit(self, submission: Submission) -> Answer:
-        """Return the whole answer of a submission, run here, followed or recovered."""
+        """Return the answer of a submission, which is run here, followed or recovered."""
         tracked = self._tracked.get(submission.job_id)
         if tracked is None:
             tracked = self._track(submission.job_id, submission.team, submission.body_hash)
@@ -113,7 +113,7 @@
         tracked = self._tracked.get(job_id)
         if tracked is None:
             tracked = self._track(job_id, team, None)
-            self._run(tracked, self._meet_claim(job_id, None, tracked))
+            self._run(tracked, self._resolve_claim(job_id, None, tracked))
         return await asyncio.shield(tracked.result)
 
     async def cancel(self, job_id: str) -> None:
@@ -144,7 +144,7 @@
         return open_job.job.progress() if open_job else None
 
     async def explain(self, job_id: str) -> list[Decision]:
-        """Return the decisions on a job: from memory, its owner, peers and the journal."""
+        """Return the decisions on a job from this entry, its peers and the journal."""
         found = dict.fromkeys(self.decisions.list_for(job_id))
         for record in self.leases.alive():
             if record.owner != self.owner:
@@ -159,7 +159,7 @@
     # -- agents ----------------------------------------------------------
 
     def apply_holdings(self, agent: AgentKey, holdings: JobHoldings) -> None:
-        """Take an agent's reply to Fence or Inquire."""
+        """Apply an agent's reply to Fence or Inquire."""
         if self.recoveries.add_holdings(agent, holdings):
             return
         open_job = self.scheduler.open_jobs.get(holdings.job_id)
@@ -172,30 +172,30 @@
                 self.scheduler.report(view, holdings.job_id, holdings.epoch, row)
 
     def agent_gone(self, agent: AgentKey, reason: str) -> None:
-        """Give up on an agent's life: its tasks and its part in recoveries."""
+        """Mark an agent's incarnation as lost, in its jobs and in recoveries."""
         self.recoveries.mark_missing(agent)
         self.scheduler.mark_agent_lost(agent, reason)
 
     def evict_answers(self) -> None:
-        """Drop answers past their retention, and the oldest when there are too many.
+        """Evict answers past their retention, and the oldest if there are too many.
 
-        A dropped answer is found in the journal when it is asked for again.
+        An evicted answer is read from the journal when it is requested again.
         """
         limit_ms = self.timers.now_ms() - self.settings.root.answer_retention_ms
         for job_id, tracked in list(self._tracked.items()):
             if not tracked.result.done():
                 continue
-            crowded = self._answered_tasks > MAX_ANSWERED_TASKS
-            if tracked.kept_since_ms >= limit_ms and not crowded:
+            is_over_limit = self._answered_tasks > MAX_ANSWERED_TASKS
+            if tracked.kept_since_ms >= limit_ms and not is_over_limit:
                 return
             self._answered_tasks -= tracked.answered_tasks
             del self._tracked[job_id]
 
-    # -- the life of a submission ----------------------------------------
+    # -- processing of a submission --------------------------------------
 
     async def _start(self, submission: Submission, tracked: Tracked) -> Answer | None:
-        """Admit and claim a submission; return an answer that is found elsewhere."""
-        refusal = find_refusal(submission, self._situation(submission))
+        """Admit and claim a submission; return its answer if another claim already has one."""
+        refusal = find_refusal(submission, self._admission_inputs(submission))
         if refusal is not None:
             return await self._refuse(submission, refusal, tracked)
         roster = self._choose_roster(submission.upstream)
@@ -218,17 +218,17 @@
         rows = await self.committer.call(self.committer.client.scan, KEY_PREFIX)
         self.leases.observe(rows, self.timers.now_ms())
 
-    async def _meet_claim(
+    async def _resolve_claim(
         self, job_id: str, submission: Submission | None, tracked: Tracked
     ) -> Answer | None:
-        """Deal with the claim that a job has, whoever holds it."""
+        """Read and resolve the claim of a job, whichever entry owns it."""
         held = await self._read_claim(job_id)
         if held is None:
             raise NotFoundError("no such job")
         return await self.recoveries.resolve_claim(held, submission, tracked)
 
     def adopt_job(self, tracked: Tracked, held: VersionedClaim, job: Job) -> None:
-        """Become the owner of a claimed job, until it is answered or its deadline passes."""
+        """Become the owner of a claimed job until it is answered or its deadline passes."""
         tracked.claim = held
         open_job = OpenJob(job, frozenset(held.claim.roster))
         tracked.open_job = open_job
@@ -243,10 +243,10 @@
         self.on_settled(open_job)
 
     def on_settled(self, open_job: OpenJob) -> None:
-        """Answer a job all of whose tasks have their fate.
+        """Answer a job whose tasks are all final.
 
-        Before it says of any task "not run", the claim is closed: else an
-        entry that took the job over could run the task all the same.
+        Before the answer reports a task as "not run", the claim is closed:
+        otherwise an entry that takes the job over could still run the task.
         """
         self.scheduler.close(open_job)
         tracked = self._tracked[open_job.job.job_id]
@@ -256,7 +256,7 @@
         self._answer(open_job)
 
     async def _close_claim(self, tracked: Tracked, open_job: OpenJob) -> None:
-        """Close the claim, then answer; if that can't be settled, "not run" is not said."""
+        """Close the claim, then answer; if closing fails, report "unknown" for "not run"."""
         held = tracked.claim
         closed = attrs.evolve(held.claim, closed=True)
         try:
@@ -283,23 +283,23 @@
         self._resolve(tracked, answer)
 
     def _supersede(self, open_job: OpenJob, epoch: int) -> None:
-        """Another entry raised the epoch: stop here and follow it."""
+        """Stop owning a job whose epoch another entry has raised, and follow that entry."""
         job = open_job.job
         self.note(job.job_id, reasons.SUPERSEDED, own_epoch=job.epoch, epoch=epoch)
         self.scheduler.close(open_job)
         tracked = self._tracked[job.job_id]
         tracked.release()
-        # A job recovered for a mere fetch has no payloads: it must not be placed from here.
-        whole = job.submission.body_hash == tracked.claim.claim.body_hash
-        submission = job.submission if whole else None
-        self._run(tracked, self._meet_claim(job.job_id, submission, tracked))
+        # A job recovered for a fetch has no payloads, so this entry must not place it.
+        has_payloads = job.submission.body_hash == tracked.claim.claim.body_hash
+        submission = job.submission if has_payloads else None
+        self._run(tracked, self._resolve_claim(job.job_id, submission, tracked))
 
     # -- refusals and the store ------------------------------------------
 
     async def _refuse(
         self, submission: Submission, refusal: Refusal, tracked: Tracked
     ) -> Answer | None:
-        """Refuse truthfully: a job that was claimed earlier is met and not refused."""
+        """Refuse a submission, unless its job has a claim already, which is resolved instead."""
         self.metrics.refusals.labels(refusal.code).inc()
         try:
             held = await self._read_claim(submission.job_id)
@@ -334,9 +334,9 @@
             raise self.store_refusal(job_id, error.message) from error
 
     def store_refusal(self, job_id: str, message: str) -> RefusedError:
-        """Build the refusal for a job whose claim can't be settled.
+        """Build the refusal for a job whose claim could not be read or written.
 
-        It never says "not run": an earlier submission of the key may have run.
+        It never states "not run": an earlier submission of the key may have run.
         """
         self.metrics.refusals.labels(reasons.STORE_UNAVAILABLE).inc()
         self.note(job_id, reasons.STORE_UNAVAILABLE)
@@ -346,7 +346,7 @@
         )
 
     def _run_probe(self) -> None:
-        """Let one read find out whether the store is back."""
+        """Check with one read whether the store is available again."""
         self._tasks.spawn(self._probe_store())
 
     async def _probe_store(self) -> None:
@@ -367,7 +367,7 @@
         self._tasks.spawn(self._drive(tracked, steps))
 
     async def _drive(self, tracked: Tracked, steps) -> None:
-        """Run the steps of a job; an error is its result, and the key stays free."""
+        """Run the steps of a job; an error becomes its result, and the key may be reused."""
         try:
             answer = await steps
         except GapdrumError as error:
@@ -391,7 +391,7 @@
         if not tracked.result.done():
             tracked.result.set_result(answer)
 
-    def _situation(self, submission: Submission) -> AdmissionInputs:
+    def _admission_inputs(self, submission: Submission) -> AdmissionInputs:
         upstream = submission.upstream
         return AdmissionInputs(
             self.members.of_upstream(upstream),
@@ -404,7 +404,7 @@
         )
 
     def _choose_roster(self, upstream: str) -> list[AgentKey]:
-        """Return the agents that may be given tasks of a new job."""
+        """Return the agents that may receive tasks of a new job."""
         views = self.members.accepting_work(upstream)
         if len(views) > MAX_ROSTER:
             views = self.scheduler.rng.sample(views, MAX_ROSTER)
@@ -443,7 +443,7 @@
 
 @peers.peer_handler(peers.FOLLOW)
 async def follow_here(dispatcher: Dispatcher, request: peers.PeerRequest) -> str:
-    """Answer a peer with the whole answer once there is one; empty if the job is unknown."""
+    """Send a peer the answer once there is one; empty if the job is unknown."""
     tracked = dispatcher._tracked.get(request.job_id)
     if tracked is None:
         return ""
@@ -462,5 +462,5 @@
 
 @peers.peer_handler(peers.EXPLAIN)
 async def explain_here(dispatcher: Dispatcher, request: peers.PeerRequest) -> str:
-    """Give a peer the decisions that this entry remembers on a job."""
+    """Send a peer the decisions that this entry has recorded on a job."""
     return json.dumps(unstructure(dispatcher.decisions.list_for(request.job_id)))
--- a/src/gapdrum/ejection.py
+++ b/src/gapdrum/ejection.py
@@ -1,4 +1,4 @@
-"""Ejection of runners that fail everything they start, with probation before return."""
+"""Ejection of runners after consecutive failures, with probation before their return."""
 
 from collections.abc import Callable
 
@@ -14,7 +14,7 @@
 
 @attrs.frozen
 class EjectionChange:
-    """A runner that was ejected, put on probation or has passed it."""
+    """A change of a runner's ejection state."""
 
     view: RunnerView
     event: str
@@ -24,10 +24,10 @@
 def record_outcome(
     view: RunnerView, failed: bool, limit: int, peers: list[RunnerView]
 ) -> EjectionChange | None:
-    """Count a task outcome at a runner; eject it, or let it pass its probation.
+    """Record a task outcome at a runner; eject the runner or end its probation if due.
 
-    Never more than half of an upstream's runners are ejected: if most of them
-    fail, the tasks are at fault and not the runners.
+    At most half of an upstream's runners are ejected: if most of them fail,
+    the cause is the tasks and not the runners.
     """
     if not failed:
         view.failures_in_row = 0
@@ -49,7 +49,7 @@
 
 
 class Ejector:
-    """Ejects runners by the settings of their upstream, and lets them back; records why."""
+    """Ejects and readmits runners by the settings of their upstream, and records why."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
         self._wall_ms = wall_ms
 
     def observe_outcome(self, view: RunnerView, failed: bool, now_ms: int) -> None:
-        """Take the outcome of a task that started at a runner."""
+        """Apply the outcome of a task that started at a runner."""
         limit = self._settings.for_upstream(view.upstream).eject_after_failures
         peers = self._members.of_upstream(view.upstream)
         change = record_outcome(view, failed, limit, peers)
@@ -76,7 +76,7 @@
         self._record(view, code, failures_in_row=change.failures_in_row)
 
     def probe(self, now_ms: int) -> bool:
-        """Put runners whose ejection is over on probation; return whether there were any."""
+        """Put runners whose ejection is over on probation; return whether any were."""
         over = [view for view in self._members if self._is_over(view, now_ms)]
         for view in over:
             view.apply("probe")
--- a/src/gapdrum/hedging.py
+++ b/src/gapdrum/hedging.py
@@ -1,4 +1,4 @@
-"""Hedging: a second start for a straggler, only where the submission allows another start."""
+"""Hedging: starts a straggler a second time if the submission allows another start."""
 
 from collections.abc import Iterable, Iterator
 
@@ -12,7 +12,7 @@
 
 @attrs.frozen
 class Straggler:
-    """A task that runs much longer than its kind does."""
+    """A task that runs much longer than others of its kind."""
 
     job: Job
     task: Task
@@ -23,7 +23,7 @@
 def find_stragglers(
     jobs: Iterable[Job], run_times: RunTimes, after_percent: int, now_ms: int
 ) -> Iterator[Straggler]:
-    """Yield the tasks that may be started once more and have run too long."""
+    """Yield the tasks that have run too long and may be started once more."""
     for job in jobs:
         submission = job.submission
         if submission.starts_allowed < 2 or job.placement_closed_reason:
@@ -39,8 +39,8 @@
 
 
 def _running_ms(task: Task, now_ms: int) -> int:
-    """Return how long the only attempt out has run, 0 if another start is not allowed."""
+    """Return how long the only outstanding attempt has run, 0 if no other start is allowed."""
     if task.state != PLACED or not task.may_place():
         return 0
-    out = task.outstanding_attempts()
-    return now_ms - out[0].placed_at_ms if len(out) == 1 else 0
+    outstanding = task.outstanding_attempts()
+    return now_ms - outstanding[0].placed_at_ms if len(outstanding) == 1 else 0
--- a/src/gapdrum/jobs.py
+++ b/src/gapdrum/jobs.py
@@ -1,8 +1,8 @@
-"""A job at its owning entry: which of its tasks may be placed, and what became of each.
+"""A job at its owning entry: which tasks may be placed, and the state of each attempt.
 
-Pure decision code without I/O.  The rule that bounds starts lives in
-``Task.may_place``: an attempt counts as a start from the moment it is sent
-until its agent has proven that it never started.
+This module does no I/O.  ``Task.may_place`` enforces the limit on starts: an
+attempt counts as a start from the moment it is sent until its agent has
+confirmed that it never started.
 """
 
 import enum
@@ -23,12 +23,12 @@
 OUTSTANDING = "out"
 LOST = "lost"
 
-# Failures after which nobody can tell whether the runner did the work.
+# Failures that leave it unknown whether the runner did the work.
 AMBIGUOUS_REASONS = frozenset({reasons.CONNECTION_LOST})
 
 
 class ReportEffect(enum.Enum):
-    """What an agent's row changed: nothing, an awaited attempt, or one given up before."""
+    """The effect of a row: none, end of an outstanding attempt, or of one marked lost."""
 
     NOTHING = "nothing"
     ENDED = "ended"
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class AgentKey:
-    """One life of an agent: a restarted agent remembers nothing, so it is another one."""
+    """One incarnation of an agent; a restarted agent has lost its records, so it is another."""
 
     agent_id: str
     incarnation: str
@@ -45,7 +45,7 @@
 
 @attrs.define
 class Attempt:
-    """One order to start a task, and what is known of it."""
+    """One order to start a task, and its known outcome."""
 
     number: int
     agent: AgentKey
@@ -55,7 +55,7 @@
 
     @property
     def may_have_started(self) -> bool:
-        """Tell whether this attempt counts against the starts allowed."""
+        """Tell whether this attempt counts as a start."""
         return self.state != ledger.NEVER_STARTED
 
 
@@ -73,25 +73,25 @@
 
     @property
     def starts(self) -> int:
-        """Return how often the task may have started."""
+        """Return how many times the task may have started."""
         return sum(attempt.may_have_started for attempt in self.attempts)
 
     @property
     def is_final(self) -> bool:
-        """Tell whether the task has its fate."""
+        """Tell whether the task has reached a final state."""
         return self.state in CHART.final
 
     def may_place(self) -> bool:
-        """Tell whether one more start can't exceed what the submission allows."""
+        """Tell whether one more start is within the limit of the submission."""
         return not self.is_final and self.starts < self.starts_allowed
 
     def apply(self, event: str, reason: str = "") -> None:
-        """Move along the chart, noting the reason."""
+        """Apply an event of the state chart, and record the reason."""
         self.state = CHART.next_state(self.state, event)
         self.reason = reason or self.reason
 
     def outstanding_attempts(self) -> list[Attempt]:
-        """Return the attempts whose outcome is still awaited."""
+        """Return the attempts whose outcome is not known yet."""
         return [attempt for attempt in self.attempts if attempt.state == OUTSTANDING]
 
     def find_attempt(self, agent: AgentKey, number: int) -> Attempt | None:
@@ -105,7 +105,7 @@
 class Job:
     """All tasks of one claimed submission under one epoch.
 
-    The dispatcher places waiting tasks and feeds back what agents report::
+    The scheduler places waiting tasks and applies the reports of agents::
 
         number = job.place(0, agent, now_ms)
         job.report(agent, row)
@@ -126,23 +126,23 @@
 
     @property
     def is_settled(self) -> bool:
-        """Tell whether every task has its fate."""
+        """Tell whether every task is final."""
         return self.unsettled == 0
 
     @property
     def has_not_run_tasks(self) -> bool:
-        """Tell whether an answer would say of some task that it did not run."""
+        """Tell whether an answer would report any task as not run."""
         return any(task.state == NOT_RUN for task in self.tasks)
 
     def mark_not_run_unknown(self, reason: str) -> None:
-        """Call unknown what can't be proven: another owner may have taken the job over."""
+        """Change not-run tasks to unknown: another owner may have taken the job over."""
         for task in self.tasks:
             if task.state == NOT_RUN:
                 task.state = UNKNOWN
                 task.reason = reason
 
     def place(self, index: int, agent: AgentKey, now_ms: int) -> int:
-        """Note that a start order goes out; return the number of the attempt."""
+        """Record that a start order is sent; return the number of the attempt."""
         task = self.tasks[index]
         if not task.may_place():
             raise AssertionError(f"task {index} of {self.job_id} has no start left")
@@ -152,7 +152,7 @@
         return number
 
     def report(self, agent: AgentKey, row: TaskRow) -> ReportEffect:
-        """Take an agent's row; a duplicate changes nothing."""
+        """Apply an agent's row; a duplicate changes nothing."""
         task = self.tasks[row.index] if row.index < len(self.tasks) else None
         attempt = task.find_attempt(agent, row.attempt) if task else None
         if attempt is None or attempt.state not in (OUTSTANDING, LOST):
@@ -163,23 +163,23 @@
         attempt.reason = row.reason
         attempt.state = LOST if row.reason in AMBIGUOUS_REASONS else row.state
         if not task.is_final:
-            self._advance(task, row)
+            self._apply_end(task, row)
         return effect
 
     def mark_agent_lost(self, agent: AgentKey, reason: str) -> list[Task]:
-        """Give up on all attempts out at an agent; return the tasks concerned."""
-        concerned = []
+        """Mark all outstanding attempts at an agent as lost; return their tasks."""
+        affected = []
         for task in self.tasks:
             for attempt in task.outstanding_attempts():
                 if attempt.agent == agent:
                     attempt.state = LOST
                     attempt.reason = reason
-                    concerned.append(task)
-                    self._reconsider(task, reason)
-        return concerned
+                    affected.append(task)
+                    self._retry_or_settle(task, reason)
+        return affected
 
     def outstanding_at(self, agent: AgentKey) -> list[tuple[int, int]]:
-        """Return index and number of each attempt awaited from an agent."""
+        """Return task index and number of each attempt outstanding at an agent."""
         return [
             (task.index, attempt.number)
             for task in self.tasks
@@ -188,26 +188,26 @@
         ]
 
     def outstanding_agents(self) -> list[AgentKey]:
-        """Return the agents that still hold attempts of the job, each once, in order."""
+        """Return the agents with outstanding attempts of the job, each once, in order."""
         agents = (attempt.agent for task in self.tasks for attempt in task.outstanding_attempts())
         return list(dict.fromkeys(agents))
 
     def stop_placing(self, reason: str) -> None:
-        """Give every waiting task its fate; what is out is still awaited."""
+        """Settle every waiting task; outstanding attempts may still report."""
         self.placement_closed_reason = reason
         for task in self.tasks:
             if task.state == WAITING:
                 self.settle(task, reason)
 
     def give_up(self, reason: str) -> None:
-        """Give every task its fate now: what is out is unknown from here on."""
+        """Settle every task now; tasks with outstanding attempts become unknown."""
         self.stop_placing(reason)
         for task in self.tasks:
             if not task.is_final:
                 self._finish(task, "lose", reason)
 
     def settle(self, task: Task, reason: str) -> None:
-        """Give a task that will not be placed again the fate that its attempts prove."""
+        """Set the final state, as its attempts prove it, of a task that won't be placed again."""
         states = [attempt.state for attempt in task.attempts if attempt.may_have_started]
         if not states:
             self._finish(task, "give_up", reason)
@@ -217,7 +217,7 @@
             self._finish(task, "fail", task.reason or reason)
 
     def answer(self, now_ms: int) -> Answer:
-        """Return the whole answer; only for a settled job."""
+        """Return the answer of a settled job."""
         outcomes = [
             TaskOutcome(task.index, task.state, task.reason, task.result, task.starts)
             for task in self.tasks
@@ -242,18 +242,18 @@
         state = "settled" if self.is_settled else "open"
         return Progress(self.job_id, self.submission.team, state, **counts)
 
-    def _advance(self, task: Task, row: TaskRow) -> None:
+    def _apply_end(self, task: Task, row: TaskRow) -> None:
         if row.state == ledger.DONE:
             task.result = row.result
             self._finish(task, "finish", "")
         elif row.state == ledger.NEVER_STARTED:
-            self._reconsider(task, row.reason)
+            self._retry_or_settle(task, row.reason)
         else:
             task.result = row.result
-            self._reconsider(task, row.reason)
+            self._retry_or_settle(task, row.reason)
 
-    def _reconsider(self, task: Task, reason: str) -> None:
-        """After an attempt ended without success: wait for others, retry, or settle."""
+    def _retry_or_settle(self, task: Task, reason: str) -> None:
+        """Handle an attempt without success: wait for other attempts, retry, or settle."""
         if task.is_final:
             return
         task.reason = reason
--- a/src/gapdrum/leases.py
+++ b/src/gapdrum/leases.py
@@ -1,8 +1,8 @@
-"""Leases of the entries: one row each in the table, judged alive on the reader's own clock.
+"""Leases of the entries: one row per entry, whose validity is measured on the reader's clock.
 
-A lease has lapsed when its row has not changed for ``LEASE_TTL_MS`` of time
-in which this process could read the table.  No two wall clocks are compared,
-and an outage of the store does not make anybody look dead.
+A lease has lapsed when its row has not changed for ``LEASE_TTL_MS``, counting
+only time in which this process could read the table.  Wall clocks of different
+hosts are never compared, and an outage of the store makes no lease lapse.
 """
 
 import attrs
@@ -36,18 +36,18 @@
 
     @property
     def owner(self) -> Owner:
-        """Return the identity that claims carry."""
+        """Return the entry's incarnation, as claims state it."""
         return Owner(self.entry_id, self.incarnation)
 
 
 def build_renewal(record: EntryRecord) -> TableWrite:
-    """Return the write that renews a lease; the last one wins, as the row is one entry's own."""
+    """Return the write that renews a lease; it is unconditional, as the row has one writer."""
     return TableWrite(KEY_PREFIX + record.entry_id, ANY_VERSION, unstructure(record), ROW_TTL_MS)
 
 
 @attrs.define
 class ObservedLease:
-    """A lease row with how long it has been seen not to change."""
+    """A lease row, and for how long it has been observed unchanged."""
 
     record: EntryRecord
     version: int
@@ -62,19 +62,19 @@
         self._read_at_ms: int | None = None
 
     def observe(self, rows: list[Row], now_ms: int) -> None:
-        """Take a successful scan of the lease rows."""
+        """Apply a successful scan of the lease rows."""
         elapsed_ms = 0 if self._read_at_ms is None else now_ms - self._read_at_ms
         counted_ms = min(elapsed_ms, MAX_COUNTED_GAP_MS)
         self._read_at_ms = now_ms
-        seen = {}
+        observed = {}
         for row in rows:
-            record = _read_record(row)
+            record = _decode_record(row)
             if record is not None:
-                seen[record.entry_id] = self._advance(record, row.version, counted_ms)
-        self._leases = seen
+                observed[record.entry_id] = self._advance(record, row.version, counted_ms)
+        self._leases = observed
 
     def alive(self) -> list[EntryRecord]:
-        """Return the entries whose lease stands and that are not leaving."""
+        """Return the entries whose lease is valid and that are not leaving."""
         return [
             lease.record
             for lease in self._leases.values()
@@ -82,7 +82,7 @@
         ]
 
     def find_alive(self, owner: Owner) -> EntryRecord | None:
-        """Return the record of exactly this life of an entry if its lease stands."""
+        """Return the record of exactly this incarnation if its lease is valid."""
         lease = self._leases.get(owner.entry_id)
         if lease is None or lease.unchanged_ms >= LEASE_TTL_MS:
             return None
@@ -95,7 +95,7 @@
         return ObservedLease(record, version, known.unchanged_ms + counted_ms)
 
 
-def _read_record(row: Row) -> EntryRecord | None:
+def _decode_record(row: Row) -> EntryRecord | None:
     try:
         return structure(row.value, EntryRecord)
     except InvalidInputError:
--- a/src/gapdrum/ledger.py
+++ b/src/gapdrum/ledger.py
@@ -1,13 +1,13 @@
-"""The agent's record of task attempts: what may start, what started, what never will.
+"""The agent's records of task attempts: which may start, have started or never will.
 
-Pure decision code: it does no I/O and is given the time.  Its rules are what
-keeps a task from starting too often:
+This module does no I/O and receives the time as a parameter.  Its rules keep
+a task from starting more often than allowed:
 
 * an attempt starts only under the highest epoch seen for its job and only
   before its ``start_by_ms`` on this agent's clock;
-* an attempt that is declined is kept as ``never_started`` and can't be
-  queued again under the same number;
-* records outlive the last moment at which an order for them could start.
+* a declined attempt stays on record as ``never_started`` and can't be queued
+  again under the same number;
+* a record is kept until no order for its job could start any more.
 """
 
 from collections import deque
@@ -35,7 +35,7 @@
 
 @attrs.define
 class AttemptRecord:
-    """One attempt that this agent was told of, and what became of it."""
+    """One attempt that this agent was ordered to start or asked about, and its state."""
 
     job_id: str
     key: TaskKey
@@ -46,11 +46,11 @@
     run_ms: int = 0
 
     def apply(self, event: str) -> None:
-        """Move along the chart; raises ChartError on an event that can't be."""
+        """Apply an event of the state chart; raises ChartError if it is not allowed."""
         self.state = CHART.next_state(self.state, event)
 
     def row(self) -> TaskRow:
-        """Return the attempt as it goes over the wire."""
+        """Return the attempt in its wire format."""
         return TaskRow(
             self.key.index, self.key.attempt, self.state, self.reason, self.result, self.run_ms
         )
@@ -72,11 +72,11 @@
 
 
 class Ledger:
-    """Decides which attempts start; every answer it gives stays true.
+    """Decides which attempts start; a reported final state never changes.
 
-    ``retention_ms`` must be at least the longest deadline of a job: an order
-    delayed by the network must still meet the record that forbids it.  The
-    agent asks ``next_start`` whenever a slot is free, and tells the
+    ``retention_ms`` must be at least the longest deadline of a job, so that an
+    order delayed by the network still finds the record that forbids it.  The
+    agent calls ``next_start`` whenever a slot is free, and reports the
     outcome with ``finish``::
 
         ledger.place(order, now_ms)
@@ -109,9 +109,9 @@
         return job.epoch if job else 0
 
     def place(self, order: PlaceTasks, now_ms: int, free_slots: int = 0) -> list[TaskRow]:
-        """Take start orders; return rows for those that end at once or were known already.
+        """Apply start orders; return rows for those declined at once or known already.
 
-        Beyond the free slots only ``queue_limit`` attempts are kept waiting.
+        Beyond the free slots at most ``queue_limit`` attempts are queued.
         """
         job = self._job_for(order.job_id, order.epoch, order.start_by_ms, now_ms)
         rows = []
@@ -142,7 +142,7 @@
         return None, lapsed
 
     def may_start(self, task: AttemptRecord, now_ms: int) -> bool:
-        """Check once more, directly before the runner is called."""
+        """Recheck an attempt immediately before the runner is called."""
         return not self.zone_drained and now_ms <= self._jobs[task.job_id].start_by_ms
 
     def finish(
@@ -157,7 +157,7 @@
         return task.row()
 
     def withdraw(self, order: Withdraw) -> list[TaskRow]:
-        """Decline what is still queued; return the rows that changed."""
+        """Decline attempts that are still queued; return the changed rows."""
         job = self._jobs.get(order.job_id)
         if job is None or order.epoch < job.epoch:
             return []
@@ -165,14 +165,14 @@
         return self._decline(job, keys, REASON_WITHDRAWN)
 
     def fence(self, order: Fence, now_ms: int) -> JobHoldings:
-        """Raise the epoch, decline what is queued under lower ones, tell all that is known."""
+        """Raise the epoch, decline queued attempts of lower epochs, and return all rows."""
         job = self._job_for(order.job_id, order.epoch, 0, now_ms)
         if order.epoch == job.epoch:
             self._decline(job, tuple(job.tasks), REASON_FENCED)
         return job.holdings()
 
     def inquire(self, order: Inquire, now_ms: int) -> JobHoldings:
-        """Tell what is known of the attempts; those never received are declined for good."""
+        """Return all rows of a job; listed attempts never received are declined for good."""
         job = self._job_for(order.job_id, order.epoch, 0, now_ms)
         for key in order.tasks:
             if key not in job.tasks:
@@ -182,7 +182,7 @@
         return job.holdings()
 
     def decline_queue(self, reason: str) -> list[AttemptRecord]:
-        """Decline all that waits, for a reason; return what was declined."""
+        """Decline all queued attempts; return them."""
         waiting = [task for task in self._queue if task.state == QUEUED]
         for task in waiting:
             self._end(task, reason)
@@ -191,14 +191,14 @@
         return waiting
 
     def forget(self, now_ms: int) -> int:
-        """Drop jobs past retention; return how many were dropped."""
+        """Drop jobs past their retention; return how many were dropped."""
         expired = [job for job in self._jobs.values() if self._is_expired(job, now_ms)]
         for job in expired:
             del self._jobs[job.job_id]
         return len(expired)
 
     def _job_for(self, job_id: str, epoch: int, start_by_ms: int, now_ms: int) -> JobAttempts:
-        """Return the job's record, with epoch and limits raised to those given."""
+        """Return the job's record, created if needed, with epoch and limits raised as given."""
         job = self._jobs.get(job_id)
         if job is None:
             job = JobAttempts(job_id, epoch, start_by_ms, 0)
--- a/src/gapdrum/members.py
+++ b/src/gapdrum/members.py
@@ -1,4 +1,4 @@
-"""Which runners an entry knows, by what their agents' streams tell."""
+"""The runners that an entry knows from its agents' streams."""
 
 from collections.abc import Callable
 
@@ -19,10 +19,10 @@
 
 @attrs.define(eq=False)
 class RunnerView:
-    """A runner as this entry sees it.
+    """A runner in the view of this entry.
 
-    ``free_slots`` is the agent's last statement; ``pending`` are the orders
-    sent since then that the statement does not include yet.
+    ``reported_free`` is the agent's last statement; ``sent`` and ``received``
+    count the orders sent since the stream began and those the agent has received.
     """
 
     agent: AgentKey
@@ -45,12 +45,12 @@
 
     @property
     def free_slots(self) -> int:
-        """Return the slots that are free as far as this entry can know."""
+        """Return the reported free slots less the orders that the report does not include."""
         return self.reported_free - (self.sent - self.received)
 
     @property
     def accepts_work(self) -> bool:
-        """Tell whether new work may be placed here."""
+        """Tell whether new tasks may be placed here."""
         if self.drained:
             return False
         if self.state == PROBATION:
@@ -58,33 +58,33 @@
         return self.state in ACCEPTING_STATES
 
     def apply(self, event: str) -> bool:
-        """Move along the chart; return whether the state changed."""
+        """Apply an event of the state chart; return whether the state changed."""
         before = self.state
         self.state = CHART.next_state(before, event)
         return self.state != before
 
     def update_load(self, free: int, received: int, time_ms: int, now_ms: int) -> None:
-        """Take the agent's statement of its load and its clock."""
+        """Update load and clock from a message of the agent."""
         self.reported_free = free
         self.received = max(self.received, received)
         self.update_clock(time_ms, now_ms)
 
     def update_clock(self, agent_time_ms: int, now_ms: int) -> None:
-        """Take the agent's statement of its clock."""
+        """Update the clock from a message of the agent."""
         self.agent_time_ms = agent_time_ms
         self.heard_at_ms = now_ms
 
     def agent_clock_ms(self, now_ms: int) -> int:
         """Return a lower bound of the agent's clock now.
 
-        The agent stated its clock at some time before this entry heard it, so
-        a limit worked out from this bound can only lapse too early.
+        The agent read its clock before this entry received the message, so a
+        limit computed from this bound can only lapse too early.
         """
         return self.agent_time_ms + (now_ms - self.heard_at_ms)
 
 
 class Members:
-    """All runners by agent, with the lives of each agent kept apart."""
+    """All runners by agent, where each incarnation of an agent has its own view."""
 
     def __init__(self) -> None:
         self._views: dict[str, RunnerView] = {}
@@ -93,7 +93,7 @@
         self._is_drained: Callable[[str, str], bool] = lambda _agent_id, _zone: False
 
     def apply_drains(self, is_drained: Callable[[str, str], bool]) -> None:
-        """Take from the operators' settings which runners, by agent and zone, get no new work."""
+        """Apply the operators' settings on which runners, by agent and zone, get no new work."""
         self._is_drained = is_drained
         for view in self._views.values():
             view.drained = is_drained(view.agent.agent_id, view.zone)
@@ -103,16 +103,16 @@
         return iter(self._views.values())
 
     def find(self, agent_id: str) -> RunnerView | None:
-        """Return the view of an agent's present or last life."""
+        """Return the view of an agent's current or last incarnation."""
         return self._views.get(agent_id)
 
     def find_incarnation(self, agent: AgentKey) -> RunnerView | None:
-        """Return the view of exactly this life of an agent."""
+        """Return the view of exactly this incarnation of an agent."""
         view = self._views.get(agent.agent_id)
         return view if view is not None and view.agent == agent else None
 
     def join(self, hello: AgentHello, now_ms: int) -> tuple[RunnerView, RunnerView | None]:
-        """Take an agent's hello; return its view and the view of a life that is over."""
+        """Apply an agent's hello; return its view and that of a former incarnation, if any."""
         agent = AgentKey(hello.agent_id, hello.incarnation)
         known = self._views.get(hello.agent_id)
         if known is not None and known.agent == agent:
@@ -131,7 +131,7 @@
         return view, known
 
     def update_load(self, view: RunnerView, load: RunnerLoad, now_ms: int) -> bool:
-        """Take a runner's load message; return whether its state changed."""
+        """Apply a runner's load message; return whether its state changed."""
         if load.upstream != view.upstream:
             self._drop_from_upstream(view)
             view.upstream = load.upstream
@@ -145,17 +145,17 @@
         return CHART.allows(view.state, event) and view.apply(event)
 
     def forget(self, view: RunnerView) -> None:
-        """Drop a runner that is gone for good."""
+        """Remove a runner that will not return."""
         if self._views.get(view.agent.agent_id) is view:
             del self._views[view.agent.agent_id]
         self._drop_from_upstream(view)
 
     def of_upstream(self, upstream: str) -> list[RunnerView]:
-        """Return all runners that announced this upstream, whatever their state."""
+        """Return all runners that announced this upstream, in any state."""
         return self._by_upstream.get(upstream, [])
 
     def accepting_work(self, upstream: str, accelerators: int = 0) -> list[RunnerView]:
-        """Return the runners that may be given new work."""
+        """Return the runners that accept new work."""
         return [
             view
             for view in self.of_upstream(upstream)
@@ -165,7 +165,7 @@
     def drained_zones(self, upstream: str) -> list[str]:
         """Return the availability zones in which runners of an upstream are drained."""
         if not self._any_drained:
-            return []  # the usual case, asked with each order
+            return []  # fast path, as every order calls this
         return sorted({view.zone for view in self.of_upstream(upstream) if view.drained})
 
     def _drop_from_upstream(self, view: RunnerView) -> None:
--- a/src/gapdrum/placement.py
+++ b/src/gapdrum/placement.py
@@ -1,8 +1,8 @@
-"""Placement policies: which runner gets the next task, or none yet.
+"""Placement policies: choose a runner for the next task, or none yet.
 
-A policy is a function registered under the name that the setting
-``placement`` gives.  It returns None to hold the task at the entry until a
-slot is free (late binding).
+A policy is a function registered under a value of the setting ``placement``.
+It returns None to hold the task at the entry until a slot is free (late
+binding).
 """
 
 import random
@@ -35,27 +35,27 @@
 
 @policy("random")
 def choose_random(runners, _zone, _choices, rng) -> RunnerView | None:
-    """Pick any runner; the baseline that knows nothing."""
+    """Pick any runner at random, as a baseline."""
     return rng.choice(runners)
 
 
 @policy("least_outstanding")
 def choose_least_outstanding(runners, _zone, _choices, rng) -> RunnerView | None:
-    """Pick the runner with the fewest own tasks out: blind to the other entries."""
+    """Pick the runner with the fewest outstanding tasks of this entry, ignoring other entries."""
     least = min(view.outstanding - view.slots for view in runners)
     return rng.choice([view for view in runners if view.outstanding - view.slots == least])
 
 
 @policy("two_choices")
 def choose_free_of_sample(runners, zone, choices, rng) -> RunnerView | None:
-    """Sample a few runners with free slots and pick the freest, own zone first.
+    """Sample a few runners with free slots and pick the least loaded, own zone first.
 
     Sampling keeps entries that decide at the same moment from all picking the
-    same runner; holding where nothing is free binds the task late.
+    same runner.  If no slot is free, the task is held and bound late.
     """
     free = [view for view in runners if view.free_slots > 0]
-    near = [view for view in free if view.zone == zone]
-    candidates = near or free
+    same_zone = [view for view in free if view.zone == zone]
+    candidates = same_zone or free
     if not candidates:
         return None
     sample = rng.sample(candidates, min(choices, len(candidates)))
--- a/src/gapdrum/queues.py
+++ b/src/gapdrum/queues.py
@@ -1,8 +1,8 @@
-"""The entry's queue of tasks that wait for a free slot: fair between teams, ordered within.
+"""The entry's queue of tasks that wait for a slot: fair between teams, ordered within a team.
 
-Within a team, tasks are kept by class of expected run time.  Within a class
-the oldest is always next, so an order only has to compare the heads of a few
-classes, however many tasks wait.
+Within a team, tasks are grouped into classes of similar expected run time.
+Each class is first-in first-out, so a queue order compares only the heads of
+a few classes, however many tasks wait.
 """
 
 import math
@@ -13,7 +13,7 @@
 
 from gapdrum.jobs import WAITING, Job
 
-CLASS_BASE = 1.5
+CLASS_RATIO = 1.5
 
 
 @attrs.frozen
@@ -26,7 +26,7 @@
 
 @attrs.define(eq=False)
 class RunTimeClass:
-    """Waiting tasks of jobs that are expected to take about as long, oldest first."""
+    """Waiting tasks with a similar expected run time, oldest first."""
 
     expected_ms: int
     tasks: deque[QueuedTask] = attrs.Factory(deque)
@@ -42,7 +42,7 @@
 
 
 def order(name: str) -> Callable[[Order], Order]:
-    """Register an order under the name that the setting ``queue_order`` gives."""
+    """Register a queue order under a value of the setting ``queue_order``."""
 
     def register(function: Order) -> Order:
         QUEUE_ORDERS[name] = function
@@ -59,9 +59,9 @@
 
 @order("highest_response_ratio")
 def pick_highest_ratio(classes: Iterable[RunTimeClass], now_ms: int) -> RunTimeClass:
-    """Pick the job whose response is already worst in proportion to its expected time.
+    """Pick the job with the highest ratio of waiting time to expected run time.
 
-    Short jobs overtake long ones, but nobody starves, as waiting raises the ratio.
+    Short jobs overtake long ones, but no job starves, as waiting raises its ratio.
     """
     return max(
         classes, key=lambda entry: (now_ms - entry.waiting_since_ms) / (entry.expected_ms + 1)
@@ -71,9 +71,9 @@
 class FairQueue:
     """Waiting tasks of one upstream: weighted round robin over teams, an order within one.
 
-    A team takes as many turns in a row as its weight.  Tasks that were
-    cancelled meanwhile are passed over when their turn comes, so a wave of
-    cancellations costs nothing here.
+    A team gets as many consecutive turns as its weight.  Tasks cancelled
+    meanwhile are skipped when they reach the head, so a cancellation itself
+    costs nothing here.
     """
 
     def __init__(self, weight_of: Callable[[str], int]) -> None:
@@ -83,9 +83,9 @@
         self.length = 0
 
     def push(self, job: Job, index: int, expected_ms: int, front: bool = False) -> None:
-        """Add a waiting task, in front if it had its turn already."""
+        """Add a waiting task; ``front`` is for one that was dequeued before."""
         classes = self._teams.setdefault(job.submission.team, {})
-        number = int(math.log(max(1, expected_ms), CLASS_BASE))
+        number = int(math.log(max(1, expected_ms), CLASS_RATIO))
         entry = classes.get(number)
         if entry is None:
             entry = classes[number] = RunTimeClass(expected_ms)
@@ -123,7 +123,7 @@
         return entry.tasks.popleft()
 
     def _drop_settled(self, classes: dict[int, RunTimeClass]) -> None:
-        """Drop tasks at the heads that do not wait any more, and empty classes."""
+        """Drop tasks at the heads that no longer wait, and empty classes."""
         for number, entry in list(classes.items()):
             while entry.tasks and not _is_waiting(entry.tasks[0]):
                 entry.tasks.popleft()
--- a/src/gapdrum/quotas.py
+++ b/src/gapdrum/quotas.py
@@ -1,8 +1,8 @@
-"""Team limits, shared between the entries without a message per task.
+"""Team limits, divided between the entries without a message per task.
 
-Each entry states its demand per team in its lease row.  An entry's share of
-a limit is its part of the demand that all live entries stated last, so the
-shares add up to the limit once the statements have settled.
+Each entry publishes its demand per team in its lease row.  An entry's share of
+a limit is its fraction of the demand last published by all live entries, so
+the shares add up to the limit once the published demands are stable.
 """
 
 from collections import Counter
@@ -15,7 +15,7 @@
 
 
 class Quotas:
-    """Running and starts-per-second limits of teams at this entry."""
+    """Limits on running tasks and starts per second of teams at this entry."""
 
     def __init__(self, settings: SettingsHolder) -> None:
         self._settings = settings
@@ -30,13 +30,13 @@
         self._demand[team] += tasks
 
     def snapshot_demand(self) -> dict[str, int]:
-        """Return this entry's demand for its lease row, halving it so that it ages."""
-        stated = {team: count for team, count in self._demand.items() if count}
-        self._demand = Counter({team: count // 2 for team, count in stated.items()})
-        return stated
+        """Return this entry's demand for its lease row, then halve it so that it decays."""
+        published = {team: count for team, count in self._demand.items() if count}
+        self._demand = Counter({team: count // 2 for team, count in published.items()})
+        return published
 
     def update_peer_demands(self, demands: list[dict[str, int]]) -> None:
-        """Take the demand that the other live entries stated."""
+        """Update the demands that the other live entries published."""
         self._live_entries = 1 + len(demands)
         self._peer_demand = Counter()
         for demand in demands:
@@ -51,7 +51,7 @@
         return max(MIN_SHARE, own / total)
 
     def may_start(self, team: str, now_ms: int) -> bool:
-        """Tell whether one more task of the team may start; takes its token if so."""
+        """Tell whether one more task of the team may start, and take its token if so."""
         settings = self._settings.for_team(team)
         limit = settings.team_running_limit_tasks
         if limit and self._running[team] >= max(1, int(limit * self.share_of(team))):
@@ -60,20 +60,20 @@
         return not rate or self._bucket(team, rate).take(1, now_ms)
 
     def can_ever_start(self, team: str, tasks: int, deadline_ms: int) -> bool:
-        """Tell whether the whole limit would let so many tasks start in the time."""
+        """Tell whether the team's undivided limit allows so many starts within the deadline."""
         rate = self._settings.for_team(team).team_starts_limit_per_s
         return not rate or tasks <= rate * (BURST_S + deadline_ms / 1000)
 
     def started(self, team: str) -> None:
-        """Count a task that runs."""
+        """Count a task as running."""
         self._running[team] += 1
 
     def ended(self, team: str) -> None:
-        """Count a task that runs no more."""
+        """Count a task as no longer running."""
         self._running[team] -= 1
 
     def running(self) -> dict[str, int]:
-        """Return the tasks that run now by team."""
+        """Return the number of running tasks by team."""
         return {team: count for team, count in self._running.items() if count}
 
     def _bucket(self, team: str, limit_per_s: int) -> TokenBucket:
--- a/src/gapdrum/recovery.py
+++ b/src/gapdrum/recovery.py
@@ -1,7 +1,7 @@
-"""Rebuilding a job after its owner died, from what the agents of its roster hold.
+"""Rebuilds a job after its owner died, from the holdings of its roster's agents.
 
-Pure decision code.  The agents have been fenced first, so what they tell
-can't change any more except that started attempts end.
+This module does no I/O.  The agents are fenced first, so their records can
+only change by the end of attempts that have started.
 """
 
 from gapdrum import ledger, reasons
@@ -10,10 +10,10 @@
 
 
 class Recovery:
-    """Collects the holdings of a fenced roster until all are heard or given up on.
+    """Collects the holdings of a fenced roster until no agent is awaited any more.
 
-    ``missing`` agents are gone with what they knew: no task that they may
-    have started is placed again.
+    The records of ``missing`` agents are lost, so no task that they may have
+    started is placed again.
     """
 
     def __init__(self, job: Job, roster: list[AgentKey], may_place: bool) -> None:
@@ -24,32 +24,32 @@
 
     @property
     def is_complete(self) -> bool:
-        """Tell whether every agent of the roster has been heard or given up on."""
+        """Tell whether every agent of the roster has answered or is missing."""
         return not self.awaited
 
     def add_holdings(self, agent: AgentKey, holdings: JobHoldings) -> None:
-        """Take one agent's holdings into the job."""
+        """Add one agent's holdings to the job."""
         if agent not in self.awaited:
             return
         self.awaited.discard(agent)
         for row in holdings.tasks:
             if row.index < len(self.job.tasks):
-                _take_row(self.job, self.job.tasks[row.index], agent, row)
+                _add_row(self.job, self.job.tasks[row.index], agent, row)
 
     def mark_missing(self, agent: AgentKey) -> None:
-        """Note that an agent's knowledge is gone."""
+        """Record that an agent's records are lost."""
         if agent in self.awaited:
             self.awaited.discard(agent)
             self.missing.add(agent)
 
     def finalize_tasks(self) -> list[Task]:
-        """Give each task its state; return those that are to be placed again."""
+        """Set the state of each task; return the tasks to place again."""
         to_place = []
         for task in self.job.tasks:
             if task.is_final or task.outstanding_attempts():
                 continue
             if self.missing:
-                _assume_hidden_starts(task)
+                _count_possible_starts(task)
             if self.may_place and task.may_place():
                 to_place.append(task)
                 continue
@@ -59,7 +59,7 @@
         return to_place
 
 
-def _take_row(job: Job, task: Task, agent: AgentKey, row: TaskRow) -> None:
+def _add_row(job: Job, task: Task, agent: AgentKey, row: TaskRow) -> None:
     attempt = Attempt(row.attempt, agent, job.created_at_ms)
     task.attempts.append(attempt)
     if row.state == ledger.STARTED:
@@ -69,10 +69,10 @@
     job.report(agent, row)
 
 
-def _assume_hidden_starts(task: Task) -> None:
+def _count_possible_starts(task: Task) -> None:
     """Count every start that a missing agent may have made."""
     unknown_agent = AgentKey("", "")
     while task.starts < task.starts_allowed:
-        hidden = Attempt(0, unknown_agent, 0, LOST, reasons.RECORDS_GONE)
-        task.attempts.append(hidden)
+        possible = Attempt(0, unknown_agent, 0, LOST, reasons.RECORDS_GONE)
+        task.attempts.append(possible)
     task.reason = reasons.RECORDS_GONE
--- a/src/gapdrum/recovery_coordinator.py
+++ b/src/gapdrum/recovery_coordinator.py
@@ -1,7 +1,7 @@
-"""Carries out recovery: follows a live owner's job, takes over a dead owner's.
+"""Coordinates recovery: follows a live owner's job, or takes over a dead owner's.
 
-The rules are in ``claims`` and ``recovery``; here they meet peers, agents and
-the store.
+The rules are in ``claims`` and ``recovery``; this module applies them with
+peers, agents and the store.
 """
 
 import asyncio
@@ -29,7 +29,7 @@
 
 
 class RecoveryCoordinator:
-    """The recoveries that run at an entry, and what its dispatcher asks of other owners.
+    """Runs the recoveries of an entry, and resolves claims that other owners hold.
 
     ``core`` is the dispatcher, whose claims, leases, scheduler and peers it uses.
     """
@@ -40,7 +40,7 @@
         self._running: dict[str, tuple[Recovery, asyncio.Event]] = {}
 
     def add_holdings(self, agent: AgentKey, holdings: JobHoldings) -> bool:
-        """Take an agent's holdings if a recovery waits for them; return whether one did."""
+        """Add an agent's holdings to the recovery that waits for them; return whether one did."""
         waiting = self._running.get(holdings.job_id)
         if waiting is None or holdings.epoch != waiting[0].job.epoch:
             return False
@@ -51,7 +51,7 @@
         return True
 
     def mark_missing(self, agent: AgentKey) -> None:
-        """Note in all recoveries that an agent's life is over."""
+        """Mark an agent's incarnation as missing in all recoveries."""
         for recovery, done in self._running.values():
             recovery.mark_missing(agent)
             if recovery.is_complete:
@@ -60,21 +60,21 @@
     async def resolve_claim(
         self, held: VersionedClaim, submission: Submission | None, tracked: Tracked
     ) -> Answer | None:
-        """Deal with a claim of another owner, or of an earlier time of this one."""
+        """Resolve a claim of another owner, or one of this entry whose job it no longer knows."""
         claim = held.claim
         record = await self._find_owner(claim)
         body_hash = submission.body_hash if submission else None
-        stance = decide_claim_action(claim, body_hash, record is not None, self._core.owner, False)
-        if stance is ClaimAction.CONFLICT:
+        action = decide_claim_action(claim, body_hash, record is not None, self._core.owner, False)
+        if action is ClaimAction.CONFLICT:
             raise KeyConflictError("the key was used before with another body")
-        if stance is ClaimAction.FOLLOW:
+        if action is ClaimAction.FOLLOW:
             answer = await self._follow(claim, record)
             if answer is not None:
                 return answer
         return await self._take_over(held, submission, tracked)
 
     async def _find_owner(self, claim: Claim) -> EntryRecord | None:
-        """Return the owner's lease if it stands; one not seen yet may be new, so look again."""
+        """Return the owner's lease if it is valid; leases are read again, as it may be new."""
         record = self._core.leases.find_alive(claim.owner)
         if record is None:
             try:
@@ -85,7 +85,7 @@
         return record
 
     async def _follow(self, claim: Claim, record: EntryRecord) -> Answer | None:
-        """Return the owner's answer; None if its lease lapses or it does not know the job."""
+        """Return the owner's answer, None if its lease lapses or it does not know the job."""
         self._core.note(claim.job_id, reasons.FOLLOWED, subject=record.entry_id)
         left_ms = max(0, claim.deadline_wall_ms - self._core.timers.wall_ms()) + CLOCK_MARGIN_MS
         asking = asyncio.ensure_future(
@@ -112,7 +112,7 @@
     async def _take_over(
         self, held: VersionedClaim, submission: Submission | None, tracked: Tracked
     ) -> Answer | None:
-        """Recover a job whose owner is gone: its journalled answer, or its agents' records."""
+        """Recover a job whose owner is lost, from its journalled answer or its agents' records."""
         claim = held.claim
         batch = await self._find_journal(claim)
         if batch is not None and batch.answers:
@@ -126,7 +126,9 @@
             claim.job_id, reasons.TOOK_OVER, epoch=raised.epoch, left_ms=max(0, left_ms)
         )
         may_place = submission is not None and left_ms > 0 and not claim.closed
-        job = Job(submission or _blank_submission(claim), raised.epoch, self._core.timers.now_ms())
+        job = Job(
+            submission or _build_without_payloads(claim), raised.epoch, self._core.timers.now_ms()
+        )
         job.deadline_at_ms = self._core.timers.now_ms() + max(RECOVERY_TIMEOUT_MS, left_ms)
         await self._recover(tracked, replaced, job, may_place)
         return None
@@ -134,7 +136,7 @@
     async def _recover(
         self, tracked: Tracked, held: VersionedClaim, job: Job, may_place: bool
     ) -> None:
-        """Fence the roster, gather what it holds, and go on with the job."""
+        """Fence the roster, collect its holdings, and continue the job."""
         recovery = Recovery(job, held.claim.roster, may_place)
         done = asyncio.Event()
         self._running[job.job_id] = (recovery, done)
@@ -186,8 +188,8 @@
             return None
 
 
-def _blank_submission(claim: Claim) -> Submission:
-    """Return a submission without payloads, to answer for a job that nobody sent again."""
+def _build_without_payloads(claim: Claim) -> Submission:
+    """Return a submission without payloads, for a job that was not resubmitted."""
     return Submission(
         key=claim.key,
         team=claim.team,
--- a/src/gapdrum/scheduler.py
+++ b/src/gapdrum/scheduler.py
@@ -1,4 +1,4 @@
-"""Places waiting tasks on runners and takes back what the agents report."""
+"""Places waiting tasks on runners and processes the reports of their agents."""
 
 import random
 from collections.abc import Callable
@@ -30,18 +30,18 @@
 from gapdrum.settings import SettingsHolder
 from gapdrum.timers import Timers
 
-HINT_INTERVAL_MS = 20
+WAITING_NOTICE_INTERVAL_MS = 20
 
 Sender = Callable[[AgentKey, object], None]
 
 
 @attrs.define(eq=False)
 class OpenJob:
-    """A job this entry owns and has not answered, with the roster that its claim names."""
+    """A job that this entry owns and has not answered, with the roster of its claim."""
 
     job: Job
     roster: frozenset[AgentKey]
-    held_for_drain: set[int] = attrs.Factory(set)  # tasks of which that was noted
+    drain_holds_recorded: set[int] = attrs.Factory(set)  # indexes of tasks
 
 
 @attrs.define(eq=False)
@@ -56,9 +56,9 @@
 class Scheduler:
     """Binds tasks to runners.
 
-    ``on_settled`` is called with each job whose tasks all have their fate, and
+    ``on_settled`` is called with each job whose tasks are all final, and
     ``on_superseded`` with one that another entry owns under a higher epoch;
-    ``send`` brings a message to an agent and raises StreamClosedError.
+    ``send`` sends a message to an agent and raises StreamClosedError.
     """
 
     def __init__(
@@ -88,7 +88,7 @@
         self._on_settled = on_settled
         self._on_superseded = on_superseded
         self._queues: dict[str, FairQueue] = {}
-        self._told_waiting: dict[str, tuple[int, int]] = {}
+        self._sent_waiting: dict[str, tuple[int, int]] = {}
         self._retries = RatioBudget(settings.root.retry_budget_percent)
         self._hedges = RatioBudget(settings.root.hedge_budget_percent)
 
@@ -98,7 +98,7 @@
         return queue.length if queue else 0
 
     def open(self, open_job: OpenJob, waiting: list[Task]) -> None:
-        """Take a claimed job, queue its waiting tasks and place what can be."""
+        """Open a claimed job: queue its waiting tasks and place those that fit."""
         job = open_job.job
         self.open_jobs[job.job_id] = open_job
         self.quotas.record_demand(job.submission.team, len(waiting))
@@ -107,21 +107,21 @@
         self.place_waiting(job.submission.upstream)
 
     def resume(self, open_job: OpenJob, waiting: list[Task]) -> None:
-        """Take a recovered job, some of whose tasks run already.
+        """Open a recovered job, some of whose tasks may run already.
 
-        What ended while the recovery still gathered was reported to nobody, so
-        the agents are asked once more after all that is out.
+        Attempts that ended while the recovery collected holdings were reported
+        to nobody, so the agents are asked once more for all outstanding ones.
         """
         job = open_job.job
         for task in job.tasks:
             for attempt in task.outstanding_attempts():
-                self._note_started(job, attempt.agent)
+                self._count_start(job, attempt.agent)
         self.open(open_job, waiting)
         for agent in job.outstanding_agents():
             self._inquire(job, agent)
 
     def close(self, open_job: OpenJob) -> None:
-        """Stop work on a job: take back what its agents still hold."""
+        """Stop work on a job and withdraw what its agents still hold."""
         job = open_job.job
         self.open_jobs.pop(job.job_id, None)
         job.placement_closed_reason = job.placement_closed_reason or reasons.SUPERSEDED
@@ -129,10 +129,10 @@
             self._try_send(agent, Withdraw(job.job_id, job.epoch, ()))
         for task in job.tasks:
             for attempt in task.outstanding_attempts():
-                self._note_ended(job, attempt.agent)
+                self._count_end(job, attempt.agent)
 
     def cancel(self, open_job: OpenJob) -> None:
-        """Place nothing more of a job; one message to each agent that holds some of it."""
+        """Stop placing a job, with one message to each agent that holds attempts of it."""
         job = open_job.job
         job.reason = reasons.CANCELLED
         job.stop_placing(reasons.CANCELLED)
@@ -141,9 +141,9 @@
         self._settle_if_done(open_job)
 
     def place_waiting(self, upstream: str) -> None:
-        """Place waiting tasks while there are runners for them."""
+        """Place waiting tasks of an upstream while runners accept them."""
         queue = self._queues.get(upstream)
-        if queue is None or not queue.length and not self._told_waiting.get(upstream, (0, 0))[0]:
+        if queue is None or not queue.length and not self._sent_waiting.get(upstream, (0, 0))[0]:
             return
         runners = self.members.accepting_work(upstream)
         blocked: set[str] = set()
@@ -155,44 +155,44 @@
             view = self._choose(job, job.tasks[index], runners)
             if view is None:
                 self._enqueue(job, index, front=True)
-                self._note_held(job, index)
+                self._record_hold(job, index)
                 blocked.add(job.submission.team)
                 continue
             self._order(batches, job, index, view)
         for batch in batches.values():
             self._send_batch(batch)
-        self._tell_waiting(upstream, runners)
+        self._send_waiting(upstream, runners)
 
     def report(self, view: RunnerView, job_id: str, epoch: int, row: TaskRow) -> None:
-        """Take one agent row about a task of a job."""
+        """Apply an agent's row about one task of a job."""
         open_job = self.open_jobs.get(job_id)
         if open_job is not None and epoch > open_job.job.epoch:
             self._on_superseded(open_job, epoch)
             return
         known = open_job is not None and epoch == open_job.job.epoch
-        if not known or not self._take_row(open_job, view, row):
+        if not known or not self._apply_row(open_job, view, row):
             self.metrics.wasted["TaskReport"] += 1
             return
         self._settle_if_done(open_job)
 
     def mark_agent_lost(self, agent: AgentKey, reason: str) -> None:
-        """Give up on all that an agent holds: its life is over or it stays silent."""
+        """Mark all attempts of an agent as lost: its incarnation is over or it is unresponsive."""
         for open_job in list(self.open_jobs.values()):
             concerned = open_job.job.mark_agent_lost(agent, reason)
             for task in concerned:
-                self._note_ended(open_job.job, agent)
-                self._follow_up(open_job.job, task, reason, started=True)
+                self._count_end(open_job.job, agent)
+                self._requeue(open_job.job, task, reason, started=True)
             if concerned:
                 self._settle_if_done(open_job)
         self.place_all_waiting()
 
     def inquire(self, agent: AgentKey) -> None:
-        """Ask a reconnected agent after all attempts that are awaited from it."""
+        """Ask a reconnected agent for all attempts that are outstanding there."""
         for open_job in self.open_jobs.values():
             self._inquire(open_job.job, agent)
 
     def hedge(self) -> None:
-        """Start stragglers once more elsewhere, under the hedge budget."""
+        """Start stragglers once more on other runners, within the hedge budget."""
         percent = self.settings.root.hedge_after_percent
         self._hedges.percent = self.settings.root.hedge_budget_percent
         jobs = [open_job.job for open_job in self.open_jobs.values()]
@@ -200,7 +200,7 @@
             self._hedge_one(straggler)
 
     def probe_ejected(self) -> None:
-        """Put ejected runners whose time is over on probation."""
+        """Put runners whose ejection is over on probation."""
         if self._ejector.probe(self.timers.now_ms()):
             self.place_all_waiting()
 
@@ -210,7 +210,7 @@
             self._try_send(agent, Inquire(job.job_id, job.epoch, keys))
 
     def place_all_waiting(self) -> None:
-        """Place what can be at every upstream; called at times, as limits refill with time."""
+        """Place waiting tasks of all upstreams; called periodically, as limits refill with time."""
         for upstream in list(self._queues):
             self.place_waiting(upstream)
 
@@ -228,7 +228,7 @@
         return queue
 
     def _choose(self, job: Job, task: Task, runners: list[RunnerView]) -> RunnerView | None:
-        """Return a runner for a task, None if it has to wait; new ones before those that failed."""
+        """Return a runner for a task, None to keep it waiting; untried runners are preferred."""
         submission = job.submission
         roster = self.open_jobs[job.job_id].roster
         fitting = [
@@ -256,11 +256,11 @@
         view: RunnerView,
         code: str = reasons.PLACED,
     ) -> None:
-        """Note one start order and add it to the batch for its runner."""
+        """Record one start order and add it to the batch for its runner."""
         free_before = view.free_slots
         number = job.place(index, view.agent, self.timers.now_ms())
         view.sent += 1
-        self._note_started(job, view.agent)
+        self._count_start(job, view.agent)
         self._retries.earn()
         self._hedges.earn()
         self.metrics.starts.inc()
@@ -272,17 +272,17 @@
         figures = {"free_slots": free_before, "attempt": number}
         drained = self.members.drained_zones(job.submission.upstream)
         if drained:
-            figures["drained_zones"] = len(drained)  # why it may have gone elsewhere
-        self._note(job, index, code, view.agent.agent_id, **figures)
+            figures["drained_zones"] = len(drained)  # may explain the choice of runner
+        self._record(job, index, code, view.agent.agent_id, **figures)
 
-    def _note_held(self, job: Job, index: int) -> None:
-        """Note once that a task waits while zones are drained that might have taken it."""
-        held = self.open_jobs[job.job_id].held_for_drain
+    def _record_hold(self, job: Job, index: int) -> None:
+        """Record once that a task waits while zones of its upstream are drained."""
+        recorded = self.open_jobs[job.job_id].drain_holds_recorded
         drained = self.members.drained_zones(job.submission.upstream)
-        if drained and index not in held:
-            held.add(index)
+        if drained and index not in recorded:
+            recorded.add(index)
             subject = ",".join(drained)
-            self._note(job, index, reasons.HELD_ZONE_DRAINED, subject, zones=len(drained))
+            self._record(job, index, reasons.HELD_ZONE_DRAINED, subject, zones=len(drained))
 
     def _send_batch(self, batch: _Batch) -> None:
         job = batch.open_job.job
@@ -291,32 +291,32 @@
         order = PlaceTasks(job.job_id, job.epoch, start_by_ms, self.settings.version, batch.tasks)
         self._try_send(batch.view.agent, order)
 
-    def _tell_waiting(self, upstream: str, runners: list[RunnerView]) -> None:
-        """Tell the agents when tasks begin or cease to wait, so that they share their slots."""
+    def _send_waiting(self, upstream: str, runners: list[RunnerView]) -> None:
+        """Notify agents when the number of waiting tasks changes much, so they divide slots."""
         waiting = self._queues[upstream].length
-        told, told_at_ms = self._told_waiting.get(upstream, (0, 0))
+        sent, sent_at_ms = self._sent_waiting.get(upstream, (0, 0))
         now_ms = self.timers.now_ms()
-        changed = (waiting > 0) != (told > 0) or waiting > 2 * told or waiting * 2 < told
-        if not changed or waiting and now_ms - told_at_ms < HINT_INTERVAL_MS:
+        changed = (waiting > 0) != (sent > 0) or waiting > 2 * sent or waiting * 2 < sent
+        if not changed or waiting and now_ms - sent_at_ms < WAITING_NOTICE_INTERVAL_MS:
             return
-        self._told_waiting[upstream] = (waiting, now_ms)
+        self._sent_waiting[upstream] = (waiting, now_ms)
         for view in runners:
             self._try_send(view.agent, EntryHeartbeat(self.settings.version, waiting))
 
     def _try_send(self, agent: AgentKey, message: object) -> None:
-        """Send; a broken stream is no news here, its loss is handled where it ends."""
+        """Send a message; the loss of a stream is handled where it closes, not here."""
         try:
             self._send(agent, message)
         except StreamClosedError:
             self.metrics.wasted[type(message).__name__] += 1
 
-    def _take_row(self, open_job: OpenJob, view: RunnerView, row: TaskRow) -> bool:
+    def _apply_row(self, open_job: OpenJob, view: RunnerView, row: TaskRow) -> bool:
         job = open_job.job
         effect = job.report(view.agent, row)
         if effect is ReportEffect.NOTHING:
             return False
         if effect is ReportEffect.ENDED:
-            self._note_ended(job, view.agent)
+            self._count_end(job, view.agent)
         if row.state != ledger.NEVER_STARTED:
             self._ejector.observe_outcome(view, row.state == ledger.FAILED, self.timers.now_ms())
         if row.reason == ledger.REASON_QUEUE_FULL:
@@ -327,19 +327,19 @@
         task = job.tasks[row.index]
         if not task.is_final:
             started = row.state != ledger.NEVER_STARTED
-            self._follow_up(job, task, row.reason, started)
+            self._requeue(job, task, row.reason, started)
         return True
 
-    def _follow_up(self, job: Job, task: Task, reason: str, started: bool) -> None:
-        """Queue a task again after an attempt that did not end it."""
+    def _requeue(self, job: Job, task: Task, reason: str, started: bool) -> None:
+        """Requeue a task after an attempt that did not make it final."""
         if task.state != WAITING:
             return
         if started and not self._spend_retry():
             job.settle(task, reasons.RETRY_BUDGET)
-            self._note(job, task.index, reasons.RETRY_BUDGET, starts=task.starts)
+            self._record(job, task.index, reasons.RETRY_BUDGET, starts=task.starts)
             return
         code = reasons.RETRIED if started else reasons.RETURNED
-        self._note(job, task.index, code, reason, starts=task.starts)
+        self._record(job, task.index, code, reason, starts=task.starts)
         self._enqueue(job, task.index, front=True)
 
     def _spend_retry(self) -> bool:
@@ -350,13 +350,13 @@
         if open_job.job.is_settled and open_job.job.job_id in self.open_jobs:
             self._on_settled(open_job)
 
-    def _note_started(self, job: Job, agent: AgentKey) -> None:
+    def _count_start(self, job: Job, agent: AgentKey) -> None:
         view = self.members.find_incarnation(agent)
         if view is not None:
             view.outstanding += 1
         self.quotas.started(job.submission.team)
 
-    def _note_ended(self, job: Job, agent: AgentKey) -> None:
+    def _count_end(self, job: Job, agent: AgentKey) -> None:
         view = self.members.find_incarnation(agent)
         if view is not None:
             view.outstanding -= 1
@@ -375,7 +375,7 @@
         for batch in batches.values():
             self._send_batch(batch)
 
-    def _note(self, job: Job, index: int, code: str, subject: str = "", **figures: int) -> None:
+    def _record(self, job: Job, index: int, code: str, subject: str = "", **figures: int) -> None:
         self.decisions.record(
             self.timers.wall_ms(),
             job.job_id,
--- a/src/gapdrum/slot_allocation.py
+++ b/src/gapdrum/slot_allocation.py
@@ -1,10 +1,10 @@
-"""How an agent states its free slots when entries compete for them.
+"""Divides an agent's free slots between the entries that compete for them.
 
-While no entry waits for slots, every entry is told of all that are free.  As
-soon as some entry holds tasks for lack of a slot, each free slot is offered to
-one entry at a time, in proportion to how much waits there; entries that all
-jumped at the same slot would queue behind each other.  Offers are statements
-and no promises: an order without an offer is still taken and queued.
+While no entry waits for slots, all free slots are stated to every entry.  Once
+an entry holds tasks for lack of a slot, each free slot is offered to one of the
+waiting entries at a time; entries that all used the same slot would queue
+behind each other.  Offers do not reserve slots: an order without an offer is
+still accepted and queued.
 """
 
 import random
@@ -16,7 +16,7 @@
 
 @attrs.define(eq=False)
 class SlotRequester:
-    """An entry as the sharing sees it: what waits there and what it was offered."""
+    """An entry that competes for slots: its waiting tasks and the slots offered to it."""
 
     waiting: int = 0
     offered: int = 0
@@ -24,67 +24,67 @@
 
 
 class SlotAllocator:
-    """Splits free slots between the claimants.
+    """Divides free slots between entries.
 
     ::
 
-        shares.allocate(claimants, free_slots, now_ms)
-        told = shares.free_for(claimant, claimants, free_slots)
+        allocator.allocate(requesters, free_slots, now_ms)
+        stated = allocator.free_for(requester, requesters, free_slots)
     """
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
 
-    def allocate(self, claimants: list[SlotRequester], free_slots: int, now_ms: int) -> None:
-        """Withdraw offers that were not taken up, and offer what is free."""
-        for claimant in claimants:
-            self._expire(claimant, now_ms)
-        left = free_slots - sum(claimant.offered for claimant in claimants)
-        self._withdraw(claimants, -left)
+    def allocate(self, requesters: list[SlotRequester], free_slots: int, now_ms: int) -> None:
+        """Withdraw unused offers, and offer the free slots."""
+        for requester in requesters:
+            self._expire(requester, now_ms)
+        left = free_slots - sum(requester.offered for requester in requesters)
+        self._withdraw(requesters, -left)
         while left > 0:
-            wanting = [entry for entry in claimants if entry.waiting > entry.offered]
-            if not wanting:
+            eligible = [entry for entry in requesters if entry.waiting > entry.offered]
+            if not eligible:
                 return
-            chosen = self._rng.choice(wanting)
+            chosen = self._rng.choice(eligible)
             chosen.offered += 1
             chosen.offered_at_ms = now_ms
             left -= 1
 
     @staticmethod
-    def free_for(claimant: SlotRequester, claimants: list[SlotRequester], free_slots: int) -> int:
-        """Return the free slots to state to one entry."""
-        wanted = sum(entry.waiting for entry in claimants)
+    def free_for(requester: SlotRequester, requesters: list[SlotRequester], free_slots: int) -> int:
+        """Return the number of free slots to state to one entry."""
+        wanted = sum(entry.waiting for entry in requesters)
         if wanted == 0:
             return free_slots
-        if claimant.waiting:
-            return claimant.offered
+        if requester.waiting:
+            return requester.offered
         return max(0, free_slots - wanted)
 
     @staticmethod
-    def take(claimant: SlotRequester, orders: int) -> None:
-        """Note that orders came in: they use up offers and what waited."""
-        claimant.offered = max(0, claimant.offered - orders)
-        claimant.waiting = max(0, claimant.waiting - orders)
+    def take(requester: SlotRequester, orders: int) -> None:
+        """Record received orders: they use up offers and waiting tasks."""
+        requester.offered = max(0, requester.offered - orders)
+        requester.waiting = max(0, requester.waiting - orders)
 
     @staticmethod
-    def record_waiting(claimant: SlotRequester, waiting: int) -> None:
-        """Take an entry's statement of how many tasks it holds."""
-        claimant.waiting = waiting
-        claimant.offered = min(claimant.offered, waiting)
+    def record_waiting(requester: SlotRequester, waiting: int) -> None:
+        """Record how many tasks an entry states to hold."""
+        requester.waiting = waiting
+        requester.offered = min(requester.offered, waiting)
 
     @staticmethod
-    def _expire(claimant: SlotRequester, now_ms: int) -> None:
-        """Take an entry that left an offer unused to have nothing waiting any more."""
-        if claimant.offered and now_ms - claimant.offered_at_ms > OFFER_TTL_MS:
-            claimant.offered = 0
-            claimant.waiting = 0
+    def _expire(requester: SlotRequester, now_ms: int) -> None:
+        """Reset an entry that did not use an offer in time: it is assumed to hold no tasks."""
+        if requester.offered and now_ms - requester.offered_at_ms > OFFER_TTL_MS:
+            requester.offered = 0
+            requester.waiting = 0
 
     @staticmethod
-    def _withdraw(claimants: list[SlotRequester], excess: int) -> None:
-        """Take back offers that are no longer covered by free slots."""
-        for claimant in claimants:
+    def _withdraw(requesters: list[SlotRequester], excess: int) -> None:
+        """Withdraw offers that free slots no longer cover."""
+        for requester in requesters:
             if excess <= 0:
                 return
-            taken = min(excess, claimant.offered)
-            claimant.offered -= taken
-            excess -= taken
+            withdrawn = min(excess, requester.offered)
+            requester.offered -= withdrawn
+            excess -= withdrawn
