--- a/features/policies.feature
+++ b/features/policies.feature
@@ -5,14 +5,14 @@
     When 12 tasks are taken from the queue
     Then 8 of them are of team "a" and 4 of team "b"
 
-  Scenario: Short jobs overtake long ones, but nobody starves
+  Scenario: Short jobs overtake long ones, but no job starves
     Given a long job of 1000 ms that waits for 100 ms and a short job of 50 ms for 20 ms
     Then "highest_response_ratio" takes the short job first
     And "first_come" takes the long job first
     When the long job has waited for 2000 ms and the short job for 20 ms
     Then "highest_response_ratio" takes the long job first
 
-  Scenario: Cancelled tasks leave the queue without being looked at one by one
+  Scenario: Tasks of a cancelled job are skipped in the queue
     Given 30 waiting tasks of each of the teams "a" with weight 1 and "b" with weight 1
     When all jobs of team "a" are cancelled
     And 12 tasks are taken from the queue
@@ -21,9 +21,9 @@
   Scenario: A scarce slot is offered to one entry at a time
     Given 3 entries that hold 5 tasks each
     When 1 slot becomes free
-    Then exactly 1 entry is told of a free slot
-    When the offer is not taken up for 31 ms
-    Then exactly 1 entry is told of a free slot
+    Then exactly 1 entry is offered a free slot
+    When the offer is not used for 31 ms
+    Then exactly 1 entry is offered a free slot
     And it is another one
 
   Scenario: Entries share a team's limit by their demand
@@ -52,9 +52,9 @@
       | 800    | 1     | 2000     | 0            | deadline_unmeetable |
       | 19999  | 2     | 60000    | 0            | overloaded          |
 
-  Scenario: An outage of the store makes no entry look dead
+  Scenario: An outage of the store makes no lease lapse
     Given an entry whose lease was read
     When the table could not be read for 60000 ms and shows the same row again
-    Then the entry is alive
+    Then the entry's lease is valid
     When the row stays the same through 5000 ms of reads
-    Then the entry is dead
+    Then the entry's lease has lapsed
--- a/features/steps/core_model.py
+++ b/features/steps/core_model.py
@@ -1,7 +1,7 @@
-"""A model of the decision core: arbitrary orders of messages, deaths, pauses and lapses.
+"""A model of the decision core under arbitrary orders of messages, crashes, pauses and expiries.
 
-It drives the real scheduler, ledger and recovery against a runner that
-counts starts.  The network may delay, cross, duplicate and lose everything.
+It drives the real scheduler, ledger and recovery against a runner that counts
+starts.  The network may delay, reorder, duplicate and lose messages.
 """
 
 import random
@@ -41,7 +41,7 @@
 
 
 class ManualTimers:
-    """A timer service whose clock the model moves."""
+    """A timer service whose clock the model advances."""
 
     def __init__(self):
         self.time_ms = 1_000
@@ -54,7 +54,7 @@
         return self.time_ms - self.suspended_ms
 
     def suspend(self, time_ms):
-        """Let time pass that the clock of those who are awake does not count."""
+        """Advance time as in a suspension of the host, which ``awake_ms`` does not count."""
         self.time_ms += time_ms
         self.suspended_ms += time_ms
 
@@ -65,14 +65,14 @@
         return interval_ms
 
     def call_after(self, _delay_ms, _callback):
-        """Plan nothing: the model calls what it wants to happen."""
+        """Schedule nothing: the model triggers each event itself."""
 
 
 class ModelAgent:
-    """One life of an agent with its ledger; a restart forgets everything."""
+    """One incarnation of an agent with its ledger; a restart loses all records."""
 
-    def __init__(self, name, life):
-        self.key = AgentKey(name, f"life-{life}")
+    def __init__(self, name, number):
+        self.key = AgentKey(name, f"life-{number}")
         self.ledger = Ledger(queue_limit=8, retention_ms=10 * DEADLINE_MS)
         self.called = []
         self.running = []
@@ -80,7 +80,7 @@
 
 
 class ModelEntry:
-    """One entry with the real scheduler; a paused one goes on later with its old epoch."""
+    """One entry with the real scheduler; a paused one continues later with its old epoch."""
 
     def __init__(self, model, number):
         self.number = number
@@ -99,7 +99,7 @@
             Metrics(),
             lambda agent, message: model.post(agent, self, message),
             self.settle,
-            self.lose_job,
+            self.stop_owning,
         )
         self.scheduler.rng = random.Random(number)
 
@@ -111,7 +111,7 @@
         self.answer = open_job.job.answer(self.model.timers.now_ms())
         self.model.check_answer(self.answer)
 
-    def lose_job(self, open_job, _epoch):
+    def stop_owning(self, open_job, _epoch):
         self.scheduler.close(open_job)
         self.superseded = True
 
@@ -131,7 +131,7 @@
         self.timers = ManualTimers()
         self.starts = Counter()
         self.never_again = set()
-        self.lives = 0
+        self.incarnations = 0
         self.agents = {name: self._new_agent(name) for name in AGENTS}
         self.network = []
         self.submission = Submission(
@@ -159,7 +159,7 @@
 
     @rule(count=st.integers(1, 12), seed=st.integers(0, 2**16), copies=st.integers(1, 2))
     def deliver(self, count, seed, copies):
-        """Deliver some of the messages in flight, crossed, once or twice."""
+        """Deliver some of the messages in flight, reordered, once or twice."""
         order = random.Random(seed)
         for _ in range(min(count, len(self.network))):
             item = self.network.pop(order.randrange(len(self.network)))
@@ -175,7 +175,7 @@
 
     @rule(count=st.integers(1, 12))
     def deliver_newest(self, count):
-        """Deliver the newest messages first, so that earlier ones come late."""
+        """Deliver the newest messages first, so that earlier ones arrive late."""
         for _ in range(min(count, len(self.network))):
             self._deliver(*self.network.pop())
 
@@ -190,7 +190,7 @@
 
     @rule(name=st.sampled_from(AGENTS))
     def take_next(self, name):
-        """Let an agent take its next attempt, to be called after a possible pause."""
+        """Let an agent dequeue its next attempt; the runner is called after a possible pause."""
         agent = self.agents[name]
         if len(agent.called) + len(agent.running) >= SLOTS:
             return
@@ -202,7 +202,7 @@
 
     @rule(name=st.sampled_from(AGENTS))
     def call_runner(self, name):
-        """Call the runner if the limit still holds."""
+        """Call the runner if the attempt may still start."""
         agent = self.agents[name]
         if not agent.called:
             return
@@ -234,7 +234,7 @@
 
     @rule(name=st.sampled_from(AGENTS))
     def restart_agent(self, name):
-        """Kill an agent: its records are gone, its runner goes on."""
+        """Restart an agent: its records are lost, while its runner continues."""
         old = self.agents[name]
         self.agents[name] = self._new_agent(name)
         for entry in self.entries:
@@ -246,7 +246,7 @@
 
     @rule(name=st.sampled_from(AGENTS))
     def reconnect(self, name):
-        """Break a stream and open it again: the entry asks after what is out."""
+        """Reconnect a stream: the entries ask for the outstanding attempts."""
         for entry in self.entries:
             entry.scheduler.inquire(self.agents[name].key)
 
@@ -283,7 +283,7 @@
 
     @rule()
     def silence(self):
-        """Give up on one live agent that is silent; it may come back with results."""
+        """Mark a live but silent agent as lost; it may return with results."""
         agent = self.agents[AGENTS[0]]
         for entry in self.entries:
             entry.scheduler.mark_agent_lost(agent.key, reasons.AGENT_SILENT)
@@ -316,12 +316,12 @@
 
     @invariant()
     def not_run_stays_true(self):
-        """Check that what an answer called not run never started, and never does later."""
+        """Check that a task that an answer reported as not run never starts."""
         for index in self.never_again:
             assert self.starts[index] == 0, f"task {index} was said not to run"
 
     def check_answer(self, answer):
-        """Check an answer against what the runners saw."""
+        """Check an answer against the starts that the runners counted."""
         for outcome in answer.tasks:
             started = self.starts[outcome.index]
             if outcome.fate == reasons.NOT_RUN:
@@ -342,8 +342,8 @@
     # -- helpers ---------------------------------------------------------------
 
     def _new_agent(self, name):
-        self.lives += 1
-        return ModelAgent(name, self.lives)
+        self.incarnations += 1
+        return ModelAgent(name, self.incarnations)
 
     def _open(self, entry, job):
         entry.open_job = OpenJob(job, frozenset(self.roster))
@@ -435,7 +435,7 @@
 
 
 class TwoStartsModel(CoreModel):
-    """The same with two starts allowed per task."""
+    """The model with two starts allowed per task."""
 
     starts_allowed = 2
 
--- a/features/steps/core_steps.py
+++ b/features/steps/core_steps.py
@@ -1,4 +1,4 @@
-"""Steps that search for broken promises in the decision core."""
+"""Steps that search the decision core for broken promises."""
 
 import contextlib
 import io
--- a/features/steps/policy_steps.py
+++ b/features/steps/policy_steps.py
@@ -1,4 +1,4 @@
-"""Steps about single policies, without processes."""
+"""Steps that test single policies, without processes."""
 
 import random
 
@@ -98,42 +98,42 @@
 
 
 @given("{count:d} entries that hold {waiting:d} tasks each")
-def make_claimants(context, count, waiting):
-    context.claimants = [SlotRequester(waiting=waiting) for _ in range(count)]
-    context.shares = SlotAllocator(random.Random(SEED))
+def make_requesters(context, count, waiting):
+    context.requesters = [SlotRequester(waiting=waiting) for _ in range(count)]
+    context.allocator = SlotAllocator(random.Random(SEED))
     context.now_ms = 0
 
 
 @when("{count:d} slot becomes free")
 def free_slot(context, count):
     context.free = count
-    context.shares.allocate(context.claimants, count, context.now_ms)
+    context.allocator.allocate(context.requesters, count, context.now_ms)
 
 
-@when("the offer is not taken up for {elapsed_ms:d} ms")
-def let_lapse(context, elapsed_ms):
-    context.told_before = find_told(context)
+@when("the offer is not used for {elapsed_ms:d} ms")
+def expire_offer(context, elapsed_ms):
+    context.offered_before = list_offered(context)
     context.now_ms += elapsed_ms
-    context.shares.allocate(context.claimants, context.free, context.now_ms)
+    context.allocator.allocate(context.requesters, context.free, context.now_ms)
 
 
-def find_told(context):
-    shares = context.shares
+def list_offered(context):
+    allocator = context.allocator
     return [
         number
-        for number, claimant in enumerate(context.claimants)
-        if shares.free_for(claimant, context.claimants, context.free) > 0
+        for number, requester in enumerate(context.requesters)
+        if allocator.free_for(requester, context.requesters, context.free) > 0
     ]
 
 
-@then("exactly {count:d} entry is told of a free slot")
-def check_told(context, count):
-    assert len(find_told(context)) == count
+@then("exactly {count:d} entry is offered a free slot")
+def check_offered(context, count):
+    assert len(list_offered(context)) == count
 
 
 @then("it is another one")
 def check_other(context):
-    assert find_told(context) != context.told_before
+    assert list_offered(context) != context.offered_before
 
 
 @given("a limit of {limit:d} running tasks and entries with a demand of {one:d} and {other:d}")
@@ -196,11 +196,11 @@
 
 
 @given("1 runner with {slots:d} slots and {queued:d} queued tasks of {run_ms:d} ms")
-def make_situation(context, slots, queued, run_ms):
+def make_inputs(context, slots, queued, run_ms):
     views = [make_view(slots=slots)]
     settings = SettingsHolder()
     run_time = learned_run_times(run_ms).of(UPSTREAM, "")
-    context.situation = AdmissionInputs(
+    context.inputs = AdmissionInputs(
         views, views, queued, run_time, settings.root, Quotas(settings), False
     )
 
@@ -210,7 +210,7 @@
 )
 def admit(context, tasks, deadline_ms, accelerators):
     submission = make_submission(tasks=tasks, deadline_ms=deadline_ms, accelerators=accelerators)
-    context.refusal = find_refusal(submission, context.situation)
+    context.refusal = find_refusal(submission, context.inputs)
 
 
 @then('it is refused with "{code}"')
@@ -240,11 +240,11 @@
         read_again(context, LEASE_STEP_MS)
 
 
-@then("the entry is alive")
-def check_alive(context):
+@then("the entry's lease is valid")
+def check_valid(context):
     assert context.leases.find_alive(context.owner) is not None
 
 
-@then("the entry is dead")
-def check_dead(context):
+@then("the entry's lease has lapsed")
+def check_lapsed(context):
     assert context.leases.find_alive(context.owner) is None
