--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -265,7 +265,7 @@
 
 
 @when("runner {number:d} executes {count:d} calls and loses the replies")
-def lose_answers(context, number, count):
+def lose_runner_replies(context, number, count):
     context.system.set_runner_fault(number, mode="late", count=count, delay_ms=0)
 
 
@@ -318,7 +318,7 @@
 
 
 @when('the store is in "lost" for {count:d} calls that write a job')
-def lose_answers(context, count):
+def lose_store_replies(context, count):
     context.system.set_store_fault(mode="lost", count=count, table="open")
 
 
--- a/src/gapdrum/admission.py
+++ b/src/gapdrum/admission.py
@@ -17,8 +17,8 @@
 class AdmissionInputs:
     """The inputs of the admission checks, all read at one moment."""
 
-    known: Sequence[RunnerView]
-    ready: Sequence[RunnerView]
+    known_runners: Sequence[RunnerView]
+    ready_runners: Sequence[RunnerView]
     queued: int
     run_time: RunTime
     settings: Settings
@@ -67,7 +67,7 @@
 @check
 def check_upstream(submission: Submission, inputs: AdmissionInputs) -> Refusal | None:
     """Refuse an upstream that no runner has announced."""
-    if inputs.known:
+    if inputs.known_runners:
         return None
     message = f"no runner has announced the upstream {submission.upstream}"
     retry_ms = inputs.settings.refuse_retry_after_ms
@@ -77,7 +77,7 @@
 @check
 def check_fit(submission: Submission, inputs: AdmissionInputs) -> Refusal | None:
     """Refuse tasks that need more accelerators than any runner has, or more time than allowed."""
-    most = max(view.accelerators for view in inputs.known)
+    most = max(view.accelerators for view in inputs.known_runners)
     if submission.accelerators > most:
         message = f"no runner has {submission.accelerators} accelerators"
         return Refusal(reasons.NEVER_FITS, message, 422, None, {"most_accelerators": most})
@@ -93,10 +93,10 @@
 @check
 def check_ready(_submission: Submission, inputs: AdmissionInputs) -> Refusal | None:
     """Refuse while no runner of the upstream accepts work."""
-    if inputs.ready:
+    if inputs.ready_runners:
         return None
     retry_ms = inputs.settings.refuse_retry_after_ms
-    figures = {"runners_known": len(inputs.known)}
+    figures = {"runners_known": len(inputs.known_runners)}
     return Refusal(reasons.NO_RUNNER, "no runner accepts work now", 503, retry_ms, figures)
 
 
@@ -138,8 +138,8 @@
 
 def estimate_wait_ms(tasks: int, inputs: AdmissionInputs) -> int:
     """Estimate how long the last of ``tasks`` more tasks would wait for a slot."""
-    slots = sum(view.slots for view in inputs.ready)
-    free = sum(max(0, view.free_slots) for view in inputs.ready)
+    slots = sum(view.slots for view in inputs.ready_runners)
+    free = sum(max(0, view.free_slots) for view in inputs.ready_runners)
     if slots == 0:
         return 0
     ahead = max(0, inputs.queued + tasks - free)
--- a/src/gapdrum/platform/configuration.py
+++ b/src/gapdrum/platform/configuration.py
@@ -44,7 +44,7 @@
         # ``attempts`` counts only runs that ended as failed, not starts.
         failures_allowed=max(1, int(route.get("attempts", 1))),
         latency_factor=float(route.get("stretch", 1.0)),
-        # ``target_latency_ms`` is added to the stretched work; it is not the whole target.
+        # The latency target is ``stretch`` times the work plus ``target_latency_ms``.
         latency_slack_ms=int(route.get("target_latency_ms", 0)),
         timeout_ms=int(route.get("timeout_ms", 0)),
     )
--- a/src/gapdrum/recovery.py
+++ b/src/gapdrum/recovery.py
@@ -10,7 +10,7 @@
 
 
 class Recovery:
-    """Collects the holdings of a fenced roster until no agent is awaited any more.
+    """Collects the holdings of a fenced roster until each agent has answered or is missing.
 
     The records of ``missing`` agents are lost, so no task that they may have
     started is placed again.
--- a/src/gapdrum/scheduler.py
+++ b/src/gapdrum/scheduler.py
@@ -176,7 +176,7 @@
         self._settle_if_done(open_job)
 
     def mark_agent_lost(self, agent: AgentKey, reason: str) -> None:
-        """Mark all attempts of an agent as lost: its incarnation is over or it is unresponsive."""
+        """Mark an agent's outstanding attempts as lost: its incarnation is over or unresponsive."""
         for open_job in list(self.open_jobs.values()):
             concerned = open_job.job.mark_agent_lost(agent, reason)
             for task in concerned:
--- a/src/gapdrum/transport/__init__.py
+++ b/src/gapdrum/transport/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 over asyncio with the httptools parser: one server, one client, no decisions."""
+"""HTTP/1.1 over asyncio with the httptools parser: a server and a client."""
--- a/src/gapdrum/transport/http_server.py
+++ b/src/gapdrum/transport/http_server.py
@@ -132,7 +132,7 @@
     def eof_received(self) -> bool:
         """Reject a request that the sender has cut short; otherwise close the connection.
 
-        A sender that waits for a response may be gone, so its job must not go on for it.
+        A sender that waits for a response may be gone; closing lets the handler stop its work.
         """
         if self.busy:
             return False
