--- a/src/gapdrum/entry/acceptance.py
+++ b/src/gapdrum/entry/acceptance.py
@@ -24,25 +24,25 @@
 from gapdrum.exceptions import StoreOutcomeUnknownError, StoreRejectedError
 from gapdrum.timers import MS_PER_S, Timers
 
-# A caller waits 1.5 s for its answer; before that it is told to ask again.
+# Callers time out after 1.5 s: before that, they are told to retry if an insert is undecided.
 ACCEPT_TIMEOUT_MS = 1_100
 INSERT_RETRY_INTERVAL_MS = 300
 
 
 class Acceptance(enum.Enum):
-    """What became of a submission."""
+    """The outcome of a submission."""
 
     ACCEPTED = "accepted"
-    REFUSED = "refused"  # it has not run and never will
-    UNSETTLED = "unsettled"  # it may have been accepted
+    REFUSED = "refused"  # the job has not run and will not run
+    UNSETTLED = "unsettled"  # the job may have been accepted
 
 
 class Acceptor:
-    """Writes the rows of new jobs, and settles those whose write was not answered.
+    """Inserts the rows of new jobs, and repeats inserts that got no answer.
 
     An insert without an answer may take effect seconds later. It is repeated until the store
-    says that it took effect or that the job is already there, so the job is never forgotten;
-    it counts as refused only if no insert was left without an answer.
+    reports that it took effect or that the job already exists, so no accepted job is lost. A
+    job counts as refused only if every insert was answered.
     """
 
     def __init__(
@@ -52,34 +52,34 @@
         lease: Lease,
         timers: Timers,
         log: EventLog,
-        own: Callable[[Job], None],
+        on_accepted: Callable[[Job], None],
     ) -> None:
         self._store = store
         self._writer = writer
         self._lease = lease
         self._timers = timers
         self._log = log
-        self._own = own
-        self._settling: dict[str, asyncio.Task] = {}
+        self._on_accepted = on_accepted
+        self._inserts: dict[str, asyncio.Task] = {}
 
     def is_insert_pending(self, job_id: str) -> bool:
-        """Tell whether the store has not yet said what became of a job's row."""
-        return job_id in self._settling
+        """Return whether the outcome of a job's insert is not known yet."""
+        return job_id in self._inserts
 
     async def accept(
         self, job_id: str, queue: Queue, spec: str, steps: tuple[Step, ...]
     ) -> Acceptance:
-        """Accept a job, or say truthfully what is known of it."""
-        settling = self._settling.get(job_id)
-        if settling is None:
-            settling = asyncio.ensure_future(self._insert(job_id, queue, spec, steps))
-            self._settling[job_id] = settling
-            settling.add_done_callback(lambda _task: self._settling.pop(job_id, None))
-        done, _ = await asyncio.wait({settling}, timeout=ACCEPT_TIMEOUT_MS / MS_PER_S)
+        """Insert a job; return the outcome, ``UNSETTLED`` if it is not known in time."""
+        insert = self._inserts.get(job_id)
+        if insert is None:
+            insert = asyncio.ensure_future(self._insert(job_id, queue, spec, steps))
+            self._inserts[job_id] = insert
+            insert.add_done_callback(lambda _task: self._inserts.pop(job_id, None))
+        done, _ = await asyncio.wait({insert}, timeout=ACCEPT_TIMEOUT_MS / MS_PER_S)
         if not done:
             self._log.write("job_unsettled", request=job_id, queue=queue.name)
             return Acceptance.UNSETTLED
-        return settling.result()
+        return insert.result()
 
     async def _insert(
         self, job_id: str, queue: Queue, spec: str, steps: tuple[Step, ...]
@@ -98,11 +98,11 @@
                     self._log.write("job_not_stored", request=job_id, reason=error.message)
                     return Acceptance.REFUSED
             else:
-                self._take_result(job_id, queue, record, result, began_ms)
+                self._handle_result(job_id, queue, record, result, began_ms)
                 return Acceptance.ACCEPTED
             await asyncio.sleep(INSERT_RETRY_INTERVAL_MS / MS_PER_S)
 
-    def _take_result(
+    def _handle_result(
         self,
         job_id: str,
         queue: Queue,
@@ -112,17 +112,17 @@
     ) -> None:
         store_ms = self._timers.now_ms() - began_ms
         if isinstance(result, Committed):
-            self._take_job(job_id, queue, record, result.version, store_ms)
+            self._accept_job(job_id, queue, record, result.version, store_ms)
             return
         present = next((row for row in result.rows if row.at == open_row(job_id)), None)
         if present is not None and present.value is not None:
             found = load_record(present.value, OpenJob)
             if found.owner == record.owner and found.epoch == record.epoch:
-                self._take_job(job_id, queue, found, present.version, store_ms)
+                self._accept_job(job_id, queue, found, present.version, store_ms)
                 return
         self._log.write("job_known", request=job_id, queue=queue.name, store_ms=store_ms)
 
-    def _take_job(
+    def _accept_job(
         self, job_id: str, queue: Queue, record: OpenJob, version: int, store_ms: int
     ) -> None:
         self._log.write(
@@ -134,15 +134,15 @@
             store_ms=store_ms,
         )
         if record.owner != self._lease.owner:
-            return  # the lease was lost meanwhile: the job is taken over like any other
+            return  # the lease was lost meanwhile: a takeover scan finds the job
         now_ms = self._timers.now_ms()
-        self._own(build_queue_job(job_id, record, version, queue, now_ms - store_ms))
+        self._on_accepted(build_queue_job(job_id, record, version, queue, now_ms - store_ms))
 
 
 def initial_record(
     queue: Queue, spec: str, steps: tuple[Step, ...], owner: str, wall_ms: int
 ) -> OpenJob:
-    """Return the record of a job at its first owner."""
+    """Return the record of a new job under its first owner."""
     return OpenJob(
         queue=queue.name,
         upstream=queue.upstream,
@@ -172,7 +172,7 @@
     now_ms: int,
     durable: bool = True,
 ) -> Job:
-    """Return a job with the policy of its queue; of a queue that is gone, with defaults."""
+    """Return a job with its queue's policy, or with defaults if the queue no longer exists."""
     return build_job(
         job_id,
         record,
--- a/src/gapdrum/entry/admission.py
+++ b/src/gapdrum/entry/admission.py
@@ -1,4 +1,4 @@
-"""Refuses jobs that would only wait: overload is told at once, with a time to come back."""
+"""Admission control: refuses jobs at once whose wait would exceed their limit."""
 
 from collections.abc import Callable, Sequence
 
@@ -11,14 +11,14 @@
 from gapdrum.core.reach import VisibleCapacity
 from gapdrum.timers import Timers
 
-# The wait is an estimate: only a job that would begin too late by this factor is refused at
-# once. In replays of a load of 90% of the room a factor of 1 refuses 2.2% so, 1.5 refuses 1.3%.
+# The wait is an estimate, so a job is refused only if it exceeds the limit by this factor; a
+# factor of 1 refuses more jobs at 90% load.
 WAIT_TOLERANCE_FACTOR = 1.5
 
 
 @attrs.frozen
 class Overload:
-    """Why a job is refused: how long it would wait, and what that was estimated from."""
+    """The estimated wait of a refused job, and the figures that it is estimated from."""
 
     wait_ms: int
     begin_within_ms: int
@@ -27,7 +27,7 @@
 
 
 class Admission:
-    """Judges a new job by the work that waits and the rate at which it is placed."""
+    """Estimates the wait of a new job from the queued work and the placement rate."""
 
     def __init__(
         self,
@@ -37,19 +37,20 @@
     ) -> None:
         self._placer = placer
         self._timers = timers
-        self._views_elsewhere = peer_views
+        self._peer_views = peer_views
 
     def is_unschedulable(self, queue: Queue, steps: tuple[Step, ...]) -> bool:
-        """Tell whether a job could run in drained zones only, so that it would wait in vain.
+        """Return whether a job could run in drained zones only.
 
-        While other entries see agents in open zones, some of those are about to join this one.
+        Returns False while peers see agents in open zones, as some of these agents are about to
+        connect to this entry.
         """
-        if any(view.agents for view in self._views_elsewhere()):
+        if any(view.agents for view in self._peer_views()):
             return False
         return self._placer.is_unschedulable(queue.upstream, steps)
 
     def check_overload(self, queue: Queue, steps: tuple[Step, ...]) -> Overload | None:
-        """Return None to admit a job; it is refused if it would only wait until it is given up."""
+        """Return None to admit a job, or why it would wait beyond its limit."""
         now_ms = self._timers.now_ms()
         self._placer.meter.note(queue, steps, now_ms)
         chain_ms = longest_chain_ms(steps)
@@ -59,7 +60,7 @@
         if wait_ms <= WAIT_TOLERANCE_FACTOR * within_ms:
             return None
         placer = self._placer
-        # An entry that has placed little lately takes any work that waits for a long wait.
+        # After few recent placements the rate is low, and any queued work looks like a long wait.
         if placer.fits_now(queue.upstream, steps, queue.priority, begin_by_ms, now_ms):
             return None
         return Overload(wait_ms, within_ms, len(placer.waiting), placer.fleet.free_cpu_milli())
