--- a/src/gapdrum/entry/waiting_callers.py
+++ b/src/gapdrum/entry/waiting_callers.py
@@ -1,4 +1,4 @@
-"""Jobs that are not stored: their caller waits for the end, and sends them again without one."""
+"""Runs non-durable jobs: the caller waits for the result, and resubmits the job without one."""
 
 import asyncio
 import secrets
@@ -16,16 +16,16 @@
 from gapdrum.pauses import PauseWatch
 from gapdrum.timers import MS_PER_S, Timers
 
-# A job that is sent again after its answer gets the same answer here.
+# Ended jobs whose final state is kept in memory, so that a resubmission gets the same answer.
 MAX_CACHED_ANSWERS = 10_000
-SUBMISSION_BITS = 48  # drawn at random: no two of a job that callers submit again are the same
+SUBMISSION_BITS = 48  # random, so that two submissions of one job never share a number
 
 
 @attrs.frozen
 class Caller:
-    """One who waits: until ``closed`` is done, and for so long after its request came.
+    """A waiting caller: until ``closed`` is done, or ``wait_limit_ms`` after its request came.
 
-    Without a ``wait_limit_ms`` it has not said for how long.
+    ``wait_limit_ms`` is None if the caller states no limit.
     """
 
     closed: asyncio.Future
@@ -34,24 +34,24 @@
 
     @property
     def until_ms(self) -> int | None:
-        """Return until when it waits, None if it has not said so."""
+        """Return when the caller stops waiting, None if it states no limit."""
         return None if self.wait_limit_ms is None else self.received_ms + self.wait_limit_ms
 
 
 @attrs.frozen
 class WaitOutcome:
-    """What a waiting caller is told: the job's final state, that it has not run, or neither."""
+    """The answer to a waiting caller: the job's final state, that it has not run, or neither."""
 
     state: JobState | None = None
     not_run: bool = False
 
 
 class WaitingCallers:
-    """Runs jobs for callers that wait, and stops a job that nobody waits for any more.
+    """Runs jobs for waiting callers, and stops a job when its last caller has gone.
 
-    A caller whose connection has gone, or whose time is over, sends the job again after a
-    pause, to any entry. What runs of it is stopped at once, so that no task runs twice at the
-    same time. A connection can be cut without a sign of it, so the time counts by itself.
+    A caller that loses its connection or reaches its time limit resubmits the job after a pause,
+    to any entry. The job's runs are stopped at once, so that no task runs twice at the same
+    time. A connection can break without a reset, so the time limit applies on its own.
     """
 
     def __init__(self, dispatch: Dispatch, lease: Lease, timers: Timers, log: EventLog) -> None:
@@ -62,7 +62,7 @@
         self._callers: dict[str, set[asyncio.Future[WaitOutcome]]] = {}
         self._answers: OrderedDict[str, JobState] = OrderedDict()
         self._pauses = PauseWatch(timers.now_ms())
-        self._waits: dict[asyncio.Future, int] = {}  # until when callers wait
+        self._wait_ends_ms: dict[asyncio.Future, int] = {}  # when each wait ends
 
     async def run(
         self,
@@ -72,53 +72,55 @@
         steps: tuple[Step, ...],
         caller: Caller,
     ) -> WaitOutcome:
-        """Run a job to its end, or as far as it gets."""
+        """Run a job until it ends, is refused, or its caller has gone."""
         known = self._answers.get(job_id)
         if known is not None:
             return WaitOutcome(known)
-        # The caller's time began before the request was read, if this entry stood still.
+        # If this process was suspended, the request may have arrived long before it was read.
         caller = attrs.evolve(caller, received_ms=self._pauses.earliest_ms(caller.received_ms))
-        left_s = self._left_s(caller)
-        if left_s == 0 or caller.closed.done():
-            # Whatever began now could overlap with what is sent again.
-            self._note_gone(job_id, caller)
+        remaining_s = self._remaining_s(caller)
+        if remaining_s == 0 or caller.closed.done():
+            # A run that starts now could overlap with those of the caller's resubmission.
+            self._log_gone(job_id, caller)
             return WaitOutcome()
         loop = asyncio.get_running_loop()
-        ended, over = loop.create_future(), loop.create_future()
+        ended, timed_out = loop.create_future(), loop.create_future()
         self._callers.setdefault(job_id, set()).add(ended)
         if job_id not in self._dispatch.jobs:
             self._begin(job_id, queue, spec, steps, caller)
         else:
             self._dispatch.jobs[job_id].extend_caller_deadline(caller.until_ms)
         if caller.until_ms is not None:
-            self._waits[over] = caller.until_ms
+            self._wait_ends_ms[timed_out] = caller.until_ms
         await asyncio.wait(
-            {ended, caller.closed, over}, timeout=left_s, return_when=asyncio.FIRST_COMPLETED
+            {ended, caller.closed, timed_out},
+            timeout=remaining_s,
+            return_when=asyncio.FIRST_COMPLETED,
         )
-        self._waits.pop(over, None)
+        self._wait_ends_ms.pop(timed_out, None)
         if ended.done():
             return ended.result()
-        self._note_gone(job_id, caller)
-        self._leave(job_id, ended)
+        self._log_gone(job_id, caller)
+        self._remove_caller(job_id, ended)
         return WaitOutcome()
 
-    def _left_s(self, caller: Caller) -> float | None:
+    def _remaining_s(self, caller: Caller) -> float | None:
         if caller.until_ms is None:
             return None
         return max(0, caller.until_ms - self._timers.now_ms()) / MS_PER_S
 
     def tick(self) -> None:
-        """End the waits whose time is over; called every ``TICK_MS``.
+        """End the waits that have reached their limit; called every ``TICK_MS``.
 
-        The loop's timers stand still while the instance is suspended, so they end waits too late.
+        The event loop's timers stop while the instance is suspended, so they end waits too late.
         """
         now_ms = self._timers.now_ms()
         self._pauses.tick(now_ms)
-        for over, until_ms in self._waits.items():
-            if now_ms >= until_ms and not over.done():
-                over.set_result(None)
+        for timed_out, until_ms in self._wait_ends_ms.items():
+            if now_ms >= until_ms and not timed_out.done():
+                timed_out.set_result(None)
 
-    def _note_gone(self, job_id: str, caller: Caller) -> None:
+    def _log_gone(self, job_id: str, caller: Caller) -> None:
         self._log.write(
             "caller_gone",
             request=job_id,
@@ -145,43 +147,45 @@
         )
         self._dispatch.add_job(job, now_ms)
 
-    def _leave(self, job_id: str, ended: asyncio.Future, reason: str = "caller_gone") -> None:
+    def _remove_caller(
+        self, job_id: str, ended: asyncio.Future, reason: str = "caller_gone"
+    ) -> None:
         callers = self._callers.get(job_id, set())
         callers.discard(ended)
         job = self._dispatch.jobs.get(job_id)
         if callers or job is None:
             return
         self._callers.pop(job_id, None)
-        if job.durable:  # accepted under this identity before: it runs on without callers
+        if job.durable:  # a durable job of the same id continues without callers
             return
         job.ending = JobState.CANCELLED
         self._dispatch.stop_runs(job)
         self._dispatch.drop_job(job_id, reason)
 
     def knows(self, job_id: str) -> bool:
-        """Tell whether a job is open here, or its callers were told its end lately."""
+        """Return whether a job is open here, or its final state is kept for callers."""
         return job_id in self._dispatch.jobs or self.has_ended(job_id)
 
     def has_ended(self, job_id: str) -> bool:
-        """Tell whether a job's callers were told its end lately."""
+        """Return whether a job's final state is kept for callers."""
         return job_id in self._answers
 
     def give_up(self) -> None:
-        """Tell all callers that nothing is known of their jobs, and stop what runs."""
+        """Answer all callers that the outcome of their job is unknown, and stop its runs."""
         for job_id, callers in list(self._callers.items()):
             for ended in list(callers):
-                self._leave(job_id, ended, "entry_ends")
+                self._remove_caller(job_id, ended, "entry_ends")
                 if not ended.done():
                     ended.set_result(WaitOutcome())
 
     def refuse(self, job: Job) -> None:
-        """Tell the callers of a job that it has not run and will not."""
+        """Answer the callers of a job that it has not run and will not run."""
         for ended in self._callers.pop(job.job_id, set()):
             if not ended.done():
                 ended.set_result(WaitOutcome(not_run=True))
 
     def complete_job(self, job: Job) -> None:
-        """Answer the callers of a job that has ended."""
+        """Keep the final state of an ended job, and answer its callers."""
         state = job.ending
         self._log.write(
             "job_ended",
