--- a/src/gapdrum/entry/job_api.py
+++ b/src/gapdrum/entry/job_api.py
@@ -1,4 +1,4 @@
-"""The callers' interface: jobs, their states, cancelling, and how many wait in a queue."""
+"""The HTTP API for callers: submit, show and cancel jobs, and count those that wait."""
 
 import asyncio
 import math
@@ -31,18 +31,19 @@
 from gapdrum.timers import MS_PER_S
 from gapdrum.transport.http_messages import HttpRequest, HttpResponse, json_response
 
-# When a refused caller should come back: outages of the store last seconds.
+# Retry delay of refused callers, as outages of the store last seconds.
 RETRY_AFTER_S = 1
-# Bursts last about four seconds; callers that one has turned away come back over so many.
+# Random addition to the retry delay, which spreads callers refused in a burst; bursts last about
+# four seconds.
 RETRY_SPREAD_S = 3
-# How callers name one call, as opposed to the job; they complain with either.
+# The caller's id of one HTTP call; users report this id or the job's.
 CALL_HEADER = "request-id"
 CANCEL_TRIES = 8
 CANCEL_PAUSE_MS = 50
 
 
 class JobApi:
-    """Answers callers. Each answer says what is known, and nothing more."""
+    """Answers callers' HTTP requests; an answer states only what is known of a job."""
 
     def __init__(
         self,
@@ -51,7 +52,7 @@
         acceptor: Acceptor,
         admission: Admission,
         callers: WaitingCallers,
-        endings: JobEndRecorder,
+        job_ends: JobEndRecorder,
         store: StoreAccess,
         lease: Lease,
         log: EventLog,
@@ -61,16 +62,16 @@
         self._acceptor = acceptor
         self._admission = admission
         self._callers = callers
-        self._endings = endings
+        self._job_ends = job_ends
         self._store = store
         self._lease = lease
         self._log = log
         self.refusals = RefusalCounts(log)
-        self._departure: PlannedShutdown | None = None
+        self._shutdown: PlannedShutdown | None = None
 
     def leave(self, shutdown: PlannedShutdown) -> None:
-        """Send callers to other entries whose jobs would not end before this process does."""
-        self._departure = shutdown
+        """Refuse jobs from now on that would not end before this process does."""
+        self._shutdown = shutdown
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
         """Answer one request."""
@@ -78,7 +79,7 @@
             return await self._route(request)
         except GapdrumError as error:
             return self._answer_error(request, error)
-        except Exception as error:  # a fault of ours: the caller must hear that nothing is known
+        except Exception as error:  # a bug here: the caller must learn that nothing is known
             self._log.write("request_crashed", path=request.path, error=repr(error)[:300])
             return json_response(502, {"code": "internal_error"})
 
@@ -132,7 +133,7 @@
         own = self._dispatch.count_waiting().get(queue.name, 0)
         return waiting_response(own + self._lease.waiting_at_peers(queue.name))
 
-    # Submitting.
+    # Submission.
 
     async def _submit(self, request: HttpRequest, queue: Queue, job_id: str) -> HttpResponse:
         self._log.write(
@@ -143,13 +144,13 @@
             configuration=self._configuration.current.version,
         )
         job = decode_job(request.body)
-        known = job_id in self._dispatch.jobs or self._endings.known_state(job_id) is not None
+        known = job_id in self._dispatch.jobs or self._job_ends.known_state(job_id) is not None
         if known and not job.answered_at_end:
             self._log.write("job_known", request=job_id, queue=queue.name, store_ms=0)
             return json_response(200, {})
-        # A caller that comes back to a job of this entry must not be told that it has not run.
-        is_back = job.answered_at_end and self._callers.knows(job_id)
-        refusal = None if is_back else self._refuse(request, queue, job_id, job)
+        # A caller that resubmits a job known here must not be answered that it has not run.
+        is_resubmission = job.answered_at_end and self._callers.knows(job_id)
+        refusal = None if is_resubmission else self._refuse(request, queue, job_id, job)
         if refusal is not None:
             return refusal
         if job.answered_at_end:
@@ -158,7 +159,7 @@
         if acceptance is Acceptance.ACCEPTED:
             return json_response(200, {})
         if acceptance is Acceptance.REFUSED:
-            return self._note_refusal(job_id, queue, 503, "store_unavailable", RETRY_AFTER_S)
+            return self._log_refusal(job_id, queue, 503, "store_unavailable", RETRY_AFTER_S)
         return json_response(504, {"code": "unsettled"}, retry_after_s=RETRY_AFTER_S)
 
     async def _run_to_end(
@@ -176,16 +177,16 @@
     def _refuse(
         self, request: HttpRequest, queue: Queue, job_id: str, job: SubmittedJob
     ) -> HttpResponse | None:
-        """Refuse a job of which nothing was written yet, with the reason and when to come back."""
-        if self._departure is not None and not self._may_take(request, queue, job):
-            # 503 would end the job for good, though other entries can serve it.
-            return self._note_refusal(job_id, queue, 502, "leaving", RETRY_AFTER_S)
+        """Return the refusal of a job that is not stored yet, None if it is admitted."""
+        if self._shutdown is not None and not self._accepts_in_shutdown(request, queue, job):
+            # After a 503 the caller gives the job up, though other entries can serve it.
+            return self._log_refusal(job_id, queue, 502, "leaving", RETRY_AFTER_S)
         if not job.answered_at_end and not self._store.up:
-            return self._note_refusal(job_id, queue, 503, "store_unavailable", RETRY_AFTER_S)
+            return self._log_refusal(job_id, queue, 503, "store_unavailable", RETRY_AFTER_S)
         if not job.answered_at_end and not self._lease.valid:
-            return self._note_refusal(job_id, queue, 503, "lease_not_held", RETRY_AFTER_S)
+            return self._log_refusal(job_id, queue, 503, "lease_not_held", RETRY_AFTER_S)
         if job.answered_at_end and self._admission.is_unschedulable(queue, job.steps):
-            return self._note_refusal(job_id, queue, 503, "zones_drained", RETRY_AFTER_S)
+            return self._log_refusal(job_id, queue, 503, "zones_drained", RETRY_AFTER_S)
         overload = self._admission.check_overload(queue, job.steps)
         if overload is not None:
             self._log.write(
@@ -197,21 +198,21 @@
                 free_cpu_milli=overload.free_cpu_milli,
             )
             retry_after_s = _spread_retry_s(overload.wait_ms)
-            return self._note_refusal(job_id, queue, 429, "overloaded", retry_after_s)
+            return self._log_refusal(job_id, queue, 429, "overloaded", retry_after_s)
         return None
 
-    def _may_take(self, request: HttpRequest, queue: Queue, job: SubmittedJob) -> bool:
-        """Tell whether this entry takes a job though it is about to end.
+    def _accepts_in_shutdown(self, request: HttpRequest, queue: Queue, job: SubmittedJob) -> bool:
+        """Return whether this entry takes a job during its shutdown.
 
-        A stored job is handed over with whatever runs of it, as long as its row can be written.
+        A durable job is handed over with its runs, so only its row must be written in time.
         """
         if not job.answered_at_end:
             return self._lease.valid
         chain_ms = longest_chain_ms(job.steps)
         objective_ms = queue.objective_ms(chain_ms)
-        return self._departure.accepts_job(request.received_ms, chain_ms, objective_ms)
+        return self._shutdown.accepts_job(request.received_ms, chain_ms, objective_ms)
 
-    def _note_refusal(
+    def _log_refusal(
         self,
         job_id: str,
         queue: Queue,
@@ -229,10 +230,10 @@
         )
         return _refusal(status, reason, retry_after_s)
 
-    # Asking.
+    # Queries.
 
     async def _show(self, job_id: str) -> HttpResponse:
-        state = self._endings.known_state(job_id)
+        state = self._job_ends.known_state(job_id)
         if state is None:
             state = await self._find_state(job_id)
         if state is None:
@@ -243,7 +244,7 @@
         job = self._dispatch.jobs.get(job_id)
         if job is not None and (self._lease.valid or not job.durable):
             return JobState.RUNNING if job.begun else JobState.PENDING
-        # The open row is read first: a job moves from there to the ended ones, never back.
+        # The open row is read first: a job moves to the ended table, never back.
         opened = await self._store.read_row(open_row(job_id))
         if opened is not None:
             return JobState.RUNNING
@@ -251,13 +252,13 @@
         if ended is None:
             return None
         record = load_record(ended.value, EndedJob)
-        self._endings.remember(job_id, record)
+        self._job_ends.remember(job_id, record)
         return record.job_state
 
-    # Cancelling.
+    # Cancellation.
 
     async def _cancel(self, job_id: str) -> HttpResponse:
-        """Cancel a job; raises StoreError if that can't be settled in time."""
+        """Cancel a job; raises StoreError if the outcome is not known in time."""
         for _ in range(CANCEL_TRIES):
             if self._has_ended(job_id):
                 return json_response(200, {})
@@ -275,17 +276,17 @@
         raise StoreError("the cancellation could not be settled")
 
     def _has_ended(self, job_id: str) -> bool:
-        return self._endings.known_state(job_id) is not None or self._callers.has_ended(job_id)
+        return self._job_ends.known_state(job_id) is not None or self._callers.has_ended(job_id)
 
     async def _end_cancelled(self, job: Job) -> None:
         if job.durable:
-            await self._endings.finish(job)
+            await self._job_ends.finish(job)
         else:
             self._callers.complete_job(job)
 
     async def _cancel_in_store(self, job_id: str) -> bool:
         row = await self._store.read_row(open_row(job_id))
-        return row is not None and await self._endings.cancel_foreign(job_id, row)
+        return row is not None and await self._job_ends.cancel_unowned(job_id, row)
 
 
 def _host(request: HttpRequest) -> str:
@@ -293,9 +294,9 @@
 
 
 def _spread_retry_s(wait_ms: int) -> int:
-    """Return when a caller should come back that overload turned away.
+    """Return the retry delay of a caller that is refused as overload.
 
-    Those who are refused in one second come back over several.
+    It is randomized, so that callers refused within one second retry over several.
     """
     return max(RETRY_AFTER_S, math.ceil(wait_ms / MS_PER_S)) + random.randrange(RETRY_SPREAD_S)
 
--- a/src/gapdrum/entry/job_ends.py
+++ b/src/gapdrum/entry/job_ends.py
@@ -1,4 +1,4 @@
-"""Stores how jobs end, and what is known of long jobs before they do."""
+"""Stores the final state of jobs, and the progress of long jobs."""
 
 import asyncio
 from collections import OrderedDict
@@ -32,22 +32,22 @@
 
 RETRY_INTERVAL_MS = 200
 PROGRESS_INTERVAL_MS = 250
-# Ends must be noted within ``ack_ms`` (4 s); shorter jobs note theirs with their own end.
+# Ends of runs must be acknowledged within ``ack_ms`` (4 s); shorter jobs store them at their end.
 PROGRESS_DELAY_MS = 1_200
-MAX_REMEMBERED_ENDS = 20_000  # states of ended jobs in memory: 2 minutes at 150 jobs a second
-MAX_UNOWNED_LOOKUPS = 16  # lookups of jobs of others that may be under way; more are tried later
+MAX_REMEMBERED_ENDS = 20_000  # 2 minutes at 150 jobs a second
+MAX_UNOWNED_LOOKUPS = 16  # at a time; further ends are looked up later
 
 
 @attrs.frozen
 class KnownEnd:
-    """An ended job as this entry remembers it."""
+    """An ended job, and the attempts of its tasks that were started more than once."""
 
     record: EndedJob
     attempts: dict[tuple[int, int], int]
 
 
 class JobEndRecorder:
-    """Moves ended jobs to their table, and tells agents which ends need not be kept."""
+    """Moves ended jobs to the ended table, and acknowledges the ends of their runs to agents."""
 
     def __init__(
         self,
@@ -76,20 +76,20 @@
         return known.record.job_state if known is not None else None
 
     def remember(self, job_id: str, record: EndedJob) -> None:
-        """Remember a job's end."""
+        """Keep the record of an ended job in memory; the oldest ones are dropped."""
         attempts = {(row.step, row.index): row.attempt for row in record.restarts}
         self._known[job_id] = KnownEnd(record, attempts)
         while len(self._known) > MAX_REMEMBERED_ENDS:
             self._known.popitem(last=False)
 
-    # Jobs of this entry.
+    # Jobs that this entry owns.
 
     def store_end(self, job: Job) -> None:
-        """Begin to store the end of a job, until it is stored or proves to be another's."""
+        """Start to store a job's end, with retries until it is stored or the row has changed."""
         self._background.spawn(self.finish(job))
 
     async def finish(self, job: Job) -> bool:
-        """Store a job's end; return whether it was this entry that ended the job."""
+        """Store a job's end; return whether this entry's record is the one that is stored."""
         record = EndedJob(job.queue, job.ending.value, job.owner, job.epoch, _restarts(job))
         transaction = _ending(job.job_id, job.version, record, job.has_progress_row)
         began_ms = self._timers.now_ms()
@@ -100,14 +100,14 @@
                 self._log.write("end_unsettled", request=job.job_id, code=error.code)
                 await asyncio.sleep(RETRY_INTERVAL_MS / MS_PER_S)
                 continue
-            if isinstance(result, Committed) or _is_ours(result, record):
-                self._take_finished(job, record, began_ms)
+            if isinstance(result, Committed) or _is_own_write(result, record):
+                self._complete_job(job, record, began_ms)
                 return True
             self._dispatch.drop_job(job.job_id, "row_changed_by_another")
             return False
         return False
 
-    def _take_finished(self, job: Job, record: EndedJob, began_ms: int) -> None:
+    def _complete_job(self, job: Job, record: EndedJob, began_ms: int) -> None:
         now_ms = self._timers.now_ms()
         self._log.write(
             "job_ended",
@@ -124,7 +124,7 @@
         self._dispatch.drop_job(job.job_id, "ended")
 
     async def store_progress(self) -> None:
-        """Store the ends of tasks of jobs that go on for longer."""
+        """Store the ends of tasks of open jobs once ``PROGRESS_DELAY_MS`` has passed."""
         limit_ms = self._timers.now_ms() - PROGRESS_DELAY_MS
         for job in list(self._dispatch.jobs.values()):
             if job.durable and job.ending is None and 0 < job.progress_dirty_ms <= limit_ms:
@@ -151,9 +151,9 @@
         self._log.write("progress_stored", request=job.job_id, ends=len(ends))
         self._dispatch.acknowledge_stored_ends(job, ends)
 
-    # Jobs of others.
+    # Jobs that peers own.
 
-    async def cancel_foreign(self, job_id: str, row: Row) -> bool:
+    async def cancel_unowned(self, job_id: str, row: Row) -> bool:
         """Cancel an open job of another entry; raises StoreError.
 
         Returns False if the row has changed meanwhile and must be read again.
@@ -162,7 +162,7 @@
         record = EndedJob(found.queue, JobState.CANCELLED.value, found.owner, found.epoch + 1, ())
         transaction = _ending(job_id, row.version, record, True)
         result = await self._writer.write(job_part(job_id), transaction)
-        if isinstance(result, Conflict) and not _is_ours(result, record):
+        if isinstance(result, Conflict) and not _is_own_write(result, record):
             return False
         self._log.write("job_cancelled", request=job_id, owner=found.owner, epoch=record.epoch)
         self.remember(job_id, record)
@@ -171,18 +171,18 @@
         return True
 
     def resolve_unowned_end(self, place: Place, event: RunEvent) -> None:
-        """Let an end go at its runner if its job has ended; look that up where it isn't known."""
+        """Acknowledge a run's end if its job has ended; read the job's rows if that is unknown."""
         job_id = TaskName.parse(event.task).job_id
         known = self._known.get(job_id)
         if known is not None:
-            self._let_go(place, event, known)
+            self._acknowledge_end(place, event, known)
         elif job_id not in self._lookups and len(self._lookups) < MAX_UNOWNED_LOOKUPS:
             self._lookups.add(job_id)
-            self._background.spawn(self._look_up(place, event, job_id))
+            self._background.spawn(self._resolve_in_store(place, event, job_id))
 
-    async def _look_up(self, place: Place, event: RunEvent, job_id: str) -> None:
+    async def _resolve_in_store(self, place: Place, event: RunEvent, job_id: str) -> None:
         try:
-            # The open row is read first: a job moves from there to the ended ones, never back.
+            # The open row is read first: a job moves to the ended table, never back.
             opened = await self._store.read_row(open_row(job_id))
             ended = await self._store.read_row(ended_row(job_id))
             if ended is not None:
@@ -193,15 +193,15 @@
         finally:
             self._lookups.discard(job_id)
         if ended is not None:
-            self._let_go(place, event, self._known[job_id])
+            self._acknowledge_end(place, event, self._known[job_id])
         elif opened is None:
             self._dispatch.acknowledge_ends(place, (event.end_number,))
 
-    def _let_go(self, place: Place, event: RunEvent, known: KnownEnd) -> None:
-        """Let an end of an ended job go; one that was outrun only after the lease lapsed."""
+    def _acknowledge_end(self, place: Place, event: RunEvent, known: KnownEnd) -> None:
+        """Acknowledge a run's end, a superseded one only after the runner's lease has lapsed."""
         name = TaskName.parse(event.task)
-        counts = known.attempts.get((name.step, name.index), event.attempt)
-        if event.detail == RunEnd.DONE.value and counts > event.attempt:
+        final_attempt = known.attempts.get((name.step, name.index), event.attempt)
+        if event.detail == RunEnd.DONE.value and final_attempt > event.attempt:
             message = EndsStored(place.runner_id, (), (event.end_number,))
             self._links.send(place.agent, message)
         else:
@@ -222,15 +222,15 @@
     )
 
 
-def _is_ours(conflict: Conflict, record: EndedJob) -> bool:
-    """Tell whether the row that is in the way is the one of an earlier, unanswered try."""
+def _is_own_write(conflict: Conflict, record: EndedJob) -> bool:
+    """Return whether the conflicting row is from an earlier write that got no answer."""
     return any(row.value == dump_record(record) for row in conflict.rows)
 
 
 def _restarts(job: Job) -> tuple[Restart, ...]:
-    first = (job.epoch - 1) * ATTEMPTS_PER_EPOCH + 1
+    first_attempt = (job.epoch - 1) * ATTEMPTS_PER_EPOCH + 1
     return tuple(
         Restart(task.name.step, task.name.index, task.attempt)
         for task in job.tasks
-        if task.attempt != first
+        if task.attempt != first_attempt
     )
--- a/src/gapdrum/entry/takeover.py
+++ b/src/gapdrum/entry/takeover.py
@@ -1,4 +1,4 @@
-"""Takes over the open jobs of entries whose lease has ended, without being asked."""
+"""Takes over the open jobs of entries whose lease has ended."""
 
 import random
 
@@ -29,14 +29,14 @@
 from gapdrum.exceptions import RecordError, StoreError
 from gapdrum.timers import Timers
 
-# Jobs claimed in one transaction; a row has up to 6 KB, and others may be after the same jobs.
+# Jobs per transaction: a row has up to 6 KB, and other entries may claim the same jobs.
 CLAIM_BATCH = 25
-# A scan without a sign of a lost entry, for what a lost sign would leave behind.
+# Interval of scans that nobody requested, in case the end of a lease was missed.
 SCAN_INTERVAL_MS = 10_000
 
 
 class Takeover:
-    """Finds open jobs without a living owner and claims them with the next epoch."""
+    """Finds open jobs whose owner holds no lease, and claims them under the next epoch."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         dispatch: Dispatch,
         links: AgentLinks,
         acceptor: Acceptor,
-        endings: JobEndRecorder,
+        job_ends: JobEndRecorder,
         configuration: ConfigurationWatch,
         timers: Timers,
         log: EventLog,
@@ -57,51 +57,51 @@
         self._dispatch = dispatch
         self._links = links
         self._acceptor = acceptor
-        self._endings = endings
+        self._job_ends = job_ends
         self._configuration = configuration
         self._timers = timers
         self._log = log
-        self._wanted = True
+        self._scan_requested = True
         self._scanned_ms = 0
 
     def request_scan(self) -> None:
-        """Ask for a scan soon, as an owner has gone."""
-        self._wanted = True
+        """Request a scan, as an owner's lease has ended."""
+        self._scan_requested = True
 
     async def scan_if_due(self) -> None:
-        """Scan if an owner has gone, or the last scan is long ago."""
+        """Scan if that was requested, or ``SCAN_INTERVAL_MS`` have passed."""
         now_ms = self._timers.now_ms()
-        due = self._wanted or now_ms - self._scanned_ms > SCAN_INTERVAL_MS
+        due = self._scan_requested or now_ms - self._scanned_ms > SCAN_INTERVAL_MS
         if not due or not self._lease.valid or not self._configuration.known:
             return
-        self._wanted = False
+        self._scan_requested = False
         self._scanned_ms = now_ms
         try:
             await self._scan()
         except StoreError as error:
-            self._wanted = True
+            self._scan_requested = True
             self._log.write("takeover_failed", code=error.code, reason=error.message)
 
     async def _scan(self) -> None:
-        """Read the open jobs first and the leases after, as an owner registers before it owns."""
+        """Read the open jobs before the leases, as an entry writes its lease before any job."""
         rows: dict[str, list[Row]] = {}
         for part in random.sample(JOB_PARTS, len(JOB_PARTS)):
             rows[part] = await self._store.read_all(OPEN_TABLE, part)
         owners = await self._lease.poll()
         for part, found in rows.items():
             orphans = [row for row in found if self._is_orphan(row, owners)]
-            for begin in range(0, len(orphans), CLAIM_BATCH):
-                await self._claim(part, orphans[begin : begin + CLAIM_BATCH])
+            for start in range(0, len(orphans), CLAIM_BATCH):
+                await self._claim(part, orphans[start : start + CLAIM_BATCH])
 
     def _is_orphan(self, row: Row, owners: frozenset[str]) -> bool:
         try:
             owner = load_record(row.value, OpenJob).owner
         except RecordError as error:
-            # Nobody can run it; whoever asks after the job is told that its row can't be read.
-            self._note_unreadable(row, error)
+            # No entry can run the job; requests that need the row are answered with this error.
+            self._log_unreadable(row, error)
             return False
         if owner == self._lease.owner:
-            # A claim whose answer was lost has made the row ours without our knowing the job.
+            # The answer to a claim may have been lost: this entry owns the row, but has no job.
             return not self._is_known(row.at.key)
         return owner not in owners
 
@@ -109,33 +109,35 @@
         return (
             job_id in self._dispatch.jobs
             or self._acceptor.is_insert_pending(job_id)
-            or self._endings.known_state(job_id) is not None
+            or self._job_ends.known_state(job_id) is not None
         )
 
     async def _claim(self, part: str, rows: list[Row]) -> None:
-        claims = [(row, self._claimed(row)) for row in rows]
+        claims = [(row, self._claimed_record(row)) for row in rows]
         transaction = Transaction(
             tuple(Expectation(row.at, row.version) for row in rows),
             tuple(Put(row.at, dump_record(record)) for row, record in claims),
         )
         result = await self._writer.write(part, transaction)
         if isinstance(result, Conflict):
-            self._wanted = True  # another entry was faster with some of them
+            self._scan_requested = True  # another entry has claimed some of the jobs
             if len(rows) > 1:
                 for row in rows:
                     await self._claim(part, [row])
             return
         progress = {row.at.key: row for row in await self._store.read_all(PROGRESS_TABLE, part)}
         for row, record in claims:
-            self._take(row.at.key, record, result.version, progress.get(row.at.key))
+            self._add_claimed_job(row.at.key, record, result.version, progress.get(row.at.key))
         epochs = tuple(JobEpoch(row.at.key, record.epoch) for row, record in claims)
         self._links.broadcast(JobsClaimed(epochs))
 
-    def _claimed(self, row: Row) -> OpenJob:
+    def _claimed_record(self, row: Row) -> OpenJob:
         record = load_record(row.value, OpenJob)
         return attrs.evolve(record, owner=self._lease.owner, epoch=record.epoch + 1)
 
-    def _take(self, job_id: str, record: OpenJob, version: int, progress: Row | None) -> None:
+    def _add_claimed_job(
+        self, job_id: str, record: OpenJob, version: int, progress: Row | None
+    ) -> None:
         now_ms = self._timers.now_ms()
         queue = self._configuration.current.queue_named(record.queue)
         job = build_queue_job(job_id, record, version, queue, now_ms)
@@ -147,8 +149,8 @@
             try:
                 job.restore(load_record(progress.value, JobProgress))
             except RecordError as error:
-                # Which of its tasks are done is not known, so none of them may be started.
-                self._note_unreadable(progress, error)
+                # Which tasks are done is unknown, so no task of the job may be started.
+                self._log_unreadable(progress, error)
                 return
         self._log.write(
             "job_taken_over",
@@ -160,12 +162,12 @@
         )
         self._dispatch.add_job(job, now_ms)
 
-    def _note_unreadable(self, row: Row, error: RecordError) -> None:
+    def _log_unreadable(self, row: Row, error: RecordError) -> None:
         place = f"{row.at.table}/{row.at.part}/{row.at.key}"
         self._log.write("row_unreadable", place=place, reason=error.message)
 
     def pending_claims(self) -> tuple[JobEpoch, ...]:
-        """Return the jobs of which agents that connect now may hold runs of earlier owners."""
+        """Return claimed jobs whose runs under earlier owners agents may still hold."""
         return tuple(
             JobEpoch(job.job_id, job.epoch)
             for job in self._dispatch.jobs.values()
