--- a/src/gapdrum/entry/group_commit.py
+++ b/src/gapdrum/entry/group_commit.py
@@ -1,4 +1,4 @@
-"""Group commit: changes to rows of one part share a transaction while the last one is under way."""
+"""Group commit: changes to one part that come during a transaction share the next one."""
 
 import asyncio
 from collections import deque
@@ -10,7 +10,7 @@
 from gapdrum.entry.store_access import StoreAccess
 from gapdrum.exceptions import StoreError
 
-# The store takes 100 entries and 1 MB a call; a change has up to five entries and 8 KB.
+# The store accepts 100 entries and 1 MB a call; a change has up to five entries and 8 KB.
 MAX_ENTRIES = 100
 MAX_BYTES = 800_000
 ENTRY_OVERHEAD_BYTES = 200
@@ -33,7 +33,7 @@
 
 
 class GroupCommitWriter:
-    """Writes small changes, those of one part together.
+    """Writes small changes, batched by part.
 
     ::
 
@@ -42,55 +42,55 @@
 
     def __init__(self, store: StoreAccess, background: Background) -> None:
         self._store = store
-        self._lanes: dict[str, deque[_Change]] = {}
+        self._queues: dict[str, deque[_Change]] = {}
         self._busy: set[str] = set()
         self._background = background
 
     async def write(self, part: str, transaction: Transaction) -> Committed | Conflict:
-        """Write one change; raises StoreError, or the outcome of the call that it shared."""
+        """Write one change in a call that others may share; raises that call's StoreError."""
         change = _Change(transaction, asyncio.get_running_loop().create_future())
-        self._lanes.setdefault(part, deque()).append(change)
+        self._queues.setdefault(part, deque()).append(change)
         if part not in self._busy:
             self._busy.add(part)
             self._background.spawn(self._drain(part))
         return await change.done
 
     async def _drain(self, part: str) -> None:
-        lane = self._lanes[part]
+        queue = self._queues[part]
         try:
-            while lane:
-                await self._commit(_take_batch(lane))
+            while queue:
+                await self._commit(_take_batch(queue))
         finally:
             self._busy.discard(part)
 
     async def _commit(self, batch: list[_Change]) -> None:
         while batch:
             try:
-                result = await self._store.transact(_join(batch))
+                result = await self._store.transact(_merge(batch))
             except StoreError as error:
                 for change in batch:
-                    _settle(change, error)
+                    _resolve(change, error)
                 return
             if isinstance(result, Committed):
                 for change in batch:
-                    _settle(change, result)
+                    _resolve(change, result)
                 return
-            batch = _settle_conflicts(batch, result)
+            batch = _resolve_conflicts(batch, result)
 
 
-def _take_batch(lane: deque[_Change]) -> list[_Change]:
-    batch = [lane.popleft()]
+def _take_batch(queue: deque[_Change]) -> list[_Change]:
+    batch = [queue.popleft()]
     entries = batch[0].entries
     size = batch[0].size
-    while lane and entries + lane[0].entries <= MAX_ENTRIES and size + lane[0].size <= MAX_BYTES:
-        change = lane.popleft()
+    while queue and entries + queue[0].entries <= MAX_ENTRIES and size + queue[0].size <= MAX_BYTES:
+        change = queue.popleft()
         entries += change.entries
         size += change.size
         batch.append(change)
     return batch
 
 
-def _join(batch: list[_Change]) -> Transaction:
+def _merge(batch: list[_Change]) -> Transaction:
     return Transaction(
         tuple(item for change in batch for item in change.transaction.expectations),
         tuple(put for change in batch for put in change.transaction.puts),
@@ -98,26 +98,26 @@
     )
 
 
-def _settle_conflicts(batch: list[_Change], conflict: Conflict) -> list[_Change]:
-    """Settle the changes whose conditions did not hold; return the others, to be tried again."""
+def _resolve_conflicts(batch: list[_Change], conflict: Conflict) -> list[_Change]:
+    """Resolve the changes whose expectations failed; return the others, to be retried."""
     rows = {row.at: row for row in conflict.rows}
     rest = []
     for change in batch:
-        if _holds(change, rows):
+        if _expectations_hold(change, rows):
             rest.append(change)
         else:
-            own = tuple(
+            own_rows = tuple(
                 rows[item.at] for item in change.transaction.expectations if item.at in rows
             )
-            _settle(change, Conflict(own))
+            _resolve(change, Conflict(own_rows))
     if len(rest) == len(batch):
         for change in rest:
-            _settle(change, conflict)
+            _resolve(change, conflict)
         return []
     return rest
 
 
-def _holds(change: _Change, rows: dict[RowKey, Row]) -> bool:
+def _expectations_hold(change: _Change, rows: dict[RowKey, Row]) -> bool:
     for item in change.transaction.expectations:
         row = rows.get(item.at)
         version = row.version if row is not None and row.value is not None else ABSENT
@@ -126,7 +126,7 @@
     return True
 
 
-def _settle(change: _Change, outcome: Committed | Conflict | StoreError) -> None:
+def _resolve(change: _Change, outcome: Committed | Conflict | StoreError) -> None:
     if change.done.done():
         return
     if isinstance(outcome, StoreError):
--- a/src/gapdrum/entry/lease.py
+++ b/src/gapdrum/entry/lease.py
@@ -1,4 +1,4 @@
-"""The entry's own lease in the store, and what the leases of the others tell."""
+"""The entry's own lease in the store, and the leases of its peers."""
 
 import asyncio
 import contextlib
@@ -28,22 +28,22 @@
 from gapdrum.timers import MS_PER_S, Timers
 
 RENEW_INTERVAL_MS = 1_000
-# After a failed call, the store is tried again this soon: work waits for it.
+# Delay after a failed call of the store; shorter, as jobs wait for the lease.
 RETRY_INTERVAL_MS = 250
-# How long an entry acts for its jobs after it sent its last renewal that was answered: most
-# outages of the store are as long, and the jobs of a lost entry wait for so long.
+# A lease ends this long after its last answered renewal was sent. Most outages of the store are
+# not longer, and the jobs of a lost entry wait this long for a new owner.
 LEASE_MS = 4_000
-# Others take a lease as lapsed only later, by their own clocks and timers.
+# Peers add this to the duration, as their clocks and timers differ.
 EXPIRY_MARGIN_MS = 600
-# Former names that agents are told: what runs under one outlives its lease by about a second.
+# Former owner names sent to agents: runs under one outlive its lease by about a second.
 MAX_FORMER_OWNERS = 4
-# The incarnation of a lease that can't be read: no owner of any job is named so.
+# Replaces the incarnation of a lease that can't be read; no job has such an owner.
 UNREADABLE_INCARNATION = "unreadable"
 
 
 @attrs.define
 class ObservedLease:
-    """Another entry's lease, and since when it has not changed while the store answered."""
+    """A peer's lease, and since when it is unchanged while the store answers."""
 
     lease: EntryLease
     version: int
@@ -51,10 +51,10 @@
 
 
 class Lease:
-    """Holds the lease of this entry and watches the others'.
+    """Renews the lease of this entry and observes those of its peers.
 
-    ``on_lease_lost`` is called when another entry has ended the lease, and ``on_orphaned_jobs``
-    when a life of an entry has ended, so that its jobs are without an owner.
+    ``on_lease_lost`` is called when a peer has ended the lease, and ``on_orphaned_jobs`` when an
+    incarnation of a peer has ended, so that its jobs have no owner.
     """
 
     def __init__(
@@ -84,23 +84,23 @@
         self.former_owners: deque[str] = deque(maxlen=MAX_FORMER_OWNERS)
         self.incarnation = _new_incarnation()
 
-    def _new_life(self) -> None:
+    def _begin_incarnation(self) -> None:
         self.former_owners.append(self.owner)
         self.incarnation = _new_incarnation()
         self._version = ABSENT
 
     @property
     def owner(self) -> str:
-        """Return how jobs name this life of the entry as their owner."""
+        """Return the name under which this incarnation of the entry owns jobs."""
         return owner_name(self.instance, self.incarnation)
 
     @property
     def valid(self) -> bool:
-        """Tell whether this entry may act for its jobs."""
+        """Return whether this entry holds its lease, so that it may act for its jobs."""
         return self._timers.now_ms() < self._valid_until_ms and not self._leaving
 
     async def register(self) -> None:
-        """Write lease and address, whatever an earlier life left; raises StoreError."""
+        """Write lease and address over those of an earlier incarnation; raises StoreError."""
         address = attrs.evolve(self._address, incarnation=self.incarnation)
         puts = (
             Put(lease_row(self.instance), dump_record(self._record())),
@@ -109,11 +109,11 @@
         sent_ms = self._timers.now_ms()
         result = await self._store.transact(Transaction(puts=puts))
         self._written_address = address
-        self._take_renewal(result.version, sent_ms)
+        self._apply_renewal(result.version, sent_ms)
         self._log.write("lease_taken", owner=self.owner, version=self._version)
 
     def request_agents(self, wanted_permille: int) -> None:
-        """Ask for a share of all agents, with a renewal at once."""
+        """Ask a share of all agents to connect, with an immediate renewal."""
         self._address = attrs.evolve(self._address, wanted_permille=wanted_permille)
         self._wake.set()
 
@@ -124,7 +124,7 @@
         self._wake.clear()
 
     async def keep(self) -> int:
-        """Renew and look at the others once; return after how long to do so again."""
+        """Renew the lease and check the peers' once; return the delay until the next time in ms."""
         if self._leaving:
             return RENEW_INTERVAL_MS
         try:
@@ -134,7 +134,7 @@
                 await self._renew()
             await self.poll()
         except StoreError as error:
-            self._forget_staleness()
+            self._restart_expiry()
             self._log.write("lease_call_failed", code=error.code, reason=error.message)
             return RETRY_INTERVAL_MS
         return RENEW_INTERVAL_MS
@@ -151,7 +151,7 @@
         result = await self._store.transact(transaction)
         if not isinstance(result, Conflict):
             self._written_address = address
-            self._take_renewal(result.version, sent_ms)
+            self._apply_renewal(result.version, sent_ms)
             return
         row = next((row for row in result.rows if row.at == at and row.value), None)
         if row is not None and self._is_own(row):
@@ -160,17 +160,17 @@
             return
         self._log.write("lease_lost", owner=self.owner, version=self._version)
         self._valid_until_ms = 0
-        self._new_life()
+        self._begin_incarnation()
         self.on_lease_lost()
 
     def _is_own(self, row: Row) -> bool:
         try:
             return load_record(row.value, EntryLease).incarnation == self.incarnation
         except RecordError as error:
-            self._note_unreadable(row, error)
+            self._log_unreadable(row, error)
             return False
 
-    def _take_renewal(self, version: int, sent_ms: int) -> None:
+    def _apply_renewal(self, version: int, sent_ms: int) -> None:
         self._version = version
         self._valid_until_ms = sent_ms + LEASE_MS
 
@@ -181,7 +181,7 @@
         return EntryLease(self.incarnation, self._renewals, depths, view.agents, view.free_permille)
 
     async def poll(self) -> frozenset[str]:
-        """Read all leases, end those that have lapsed, and return the owners that are left."""
+        """Read all leases, end those that have expired, and return the remaining owners."""
         rows = await self._store.read_all(LEASE_TABLE, UNPARTITIONED)
         now_ms = self._timers.now_ms()
         seen = {row.at.key: row for row in rows}
@@ -189,9 +189,9 @@
         for name in ended:
             del self.others[name]
         for name, row in seen.items():
-            if name != self.instance and self._note_lease(name, row, now_ms):
+            if name != self.instance and self._record_lease(name, row, now_ms):
                 ended.append(name)
-        for name in [name for name in self.others if self._has_lapsed(name, now_ms)]:
+        for name in [name for name in self.others if self._has_expired(name, now_ms)]:
             if await self._end_lease(name):
                 ended.append(name)
         if ended:
@@ -203,33 +203,33 @@
         owners = {owner_name(name, seen.lease.incarnation) for name, seen in self.others.items()}
         return frozenset(owners | {self.owner})
 
-    def _note_lease(self, name: str, row: Row, now_ms: int) -> bool:
-        """Note a lease as it was read; return whether an earlier life of the entry has ended."""
+    def _record_lease(self, name: str, row: Row, now_ms: int) -> bool:
+        """Record a peer's lease; return whether its former incarnation has ended."""
         before = self.others.get(name)
         if before is not None and before.version == row.version:
             return False
         try:
             lease = load_record(row.value, EntryLease)
         except RecordError as error:
-            # Another writer's: like a lease that is not renewed, it lapses and is removed.
-            self._note_unreadable(row, error)
+            # Written by another program: it expires and is removed, as it is not renewed.
+            self._log_unreadable(row, error)
             lease = (
                 before.lease if before is not None else EntryLease(UNREADABLE_INCARNATION, 0, ())
             )
         self.others[name] = ObservedLease(lease, row.version, now_ms)
         return before is not None and before.lease.incarnation != lease.incarnation
 
-    def _note_unreadable(self, row: Row, error: RecordError) -> None:
+    def _log_unreadable(self, row: Row, error: RecordError) -> None:
         self._log.write(
             "row_unreadable", place=f"{LEASE_TABLE}//{row.at.key}", reason=error.message
         )
 
-    def _has_lapsed(self, name: str, now_ms: int) -> bool:
+    def _has_expired(self, name: str, now_ms: int) -> bool:
         unchanged_ms = now_ms - self.others[name].unchanged_since_ms
         return unchanged_ms > LEASE_MS + EXPIRY_MARGIN_MS
 
     async def _end_lease(self, name: str) -> bool:
-        """Remove a lapsed lease, unless it has been renewed; return whether it was removed."""
+        """Remove an expired lease, unless it has been renewed; return whether it was removed."""
         seen = self.others[name]
         transaction = Transaction(
             expectations=(Expectation(lease_row(name), seen.version),),
@@ -242,14 +242,14 @@
         self._log.write("lease_ended", entry=name, version=seen.version)
         return True
 
-    def _forget_staleness(self) -> None:
-        """Let all others begin anew: they could not renew either while the store was away."""
+    def _restart_expiry(self) -> None:
+        """Restart the time of all peers' leases, which can't be renewed during a store outage."""
         now_ms = self._timers.now_ms()
         for seen in self.others.values():
             seen.unchanged_since_ms = now_ms
 
     async def leave(self) -> None:
-        """Give the lease up at a shutdown, so that others take the jobs at once."""
+        """Release the lease at shutdown, so that peers take the jobs over at once."""
         self._leaving = True
         self._valid_until_ms = 0
         transaction = Transaction(
@@ -262,12 +262,12 @@
             self._log.write("lease_call_failed", code=error.code, reason=error.message)
 
     def peer_views(self) -> list[VisibleCapacity]:
-        """Return what the other entries see of the agents, by their last renewals."""
+        """Return how many agents and how much free room the peers see, by their leases."""
         leases = [seen.lease for seen in self.others.values()]
         return [VisibleCapacity(lease.agents, lease.free_permille) for lease in leases]
 
     def waiting_at_peers(self, queue: str) -> int:
-        """Return how many jobs of a queue wait at other entries, by their last renewals."""
+        """Return how many jobs of a queue wait at the peers, by their leases."""
         return sum(
             depth.waiting
             for seen in self.others.values()
--- a/src/gapdrum/entry/links.py
+++ b/src/gapdrum/entry/links.py
@@ -13,12 +13,12 @@
 from gapdrum.timers import Timers
 from gapdrum.zone_watch import ZoneWatch
 
-# A stream without a beat for this long is cut; the agent connects again.
+# A stream without a heartbeat for this long is closed; the agent reconnects.
 STREAM_TIMEOUT_MS = 2_000
 
 
 class AgentLinks:
-    """All agents' streams, and what their messages cause."""
+    """The streams of all agents; passes their messages on to the dispatch."""
 
     def __init__(self, timers: Timers, log: EventLog, sent: Counter, received: Counter) -> None:
         self._timers = timers
@@ -45,7 +45,7 @@
         await asyncio.start_server(self._accept, host, port)
 
     def send(self, agent: str, message: object) -> bool:
-        """Send to an agent; return whether its stream took the message."""
+        """Send to an agent; return whether its stream accepted the message."""
         stream = self._streams.get(agent)
         if stream is None:
             return False
@@ -68,7 +68,7 @@
             self._log.write("stream_rejected", code=error.code, reason=error.message)
         except asyncio.CancelledError:
             # The program ends. asyncio prints a traceback for a stream's task that ends as
-            # cancelled, and nothing unstructured may be written.
+            # cancelled, and only structured lines may be written.
             return
         finally:
             stream.close()
@@ -80,7 +80,7 @@
             self.dispatch.cancel_job(greeting)
             return
         if isinstance(greeting, orders.ConfigurationAsked):
-            self._tell_configuration(stream)
+            self._send_configuration(stream)
             return
         if not isinstance(greeting, orders.AgentGreeting):
             raise FrameError("a stream must start with an agent's greeting")
@@ -91,8 +91,9 @@
         self._streams[greeting.agent] = stream
         stream.send(self.greeting())
         if self.zones.drains.known:
-            stream.send(self.zones.drains_told())  # before any order: the agent starts nothing else
-        # What this entry claims would be stopped before its first beat is echoed otherwise.
+            # Before any order, so that an agent in a drained zone starts no run.
+            stream.send(self.zones.drains_told())
+        # Else runs of claimed jobs would be stopped before the first heartbeat is echoed.
         stream.send(self._echo(greeting.clock_ms))
         claims = self.pending_claims()
         if claims:
@@ -101,26 +102,26 @@
             async for message in messages:
                 if self._streams.get(greeting.agent) is not stream:
                     return
-                self._take(view, message)
+                self._handle(view, message)
         finally:
             if self._streams.get(greeting.agent) is stream:
                 del self._streams[greeting.agent]
                 self.dispatch.fleet.agent_left(view)
 
     def greeting(self) -> orders.EntryGreeting:
-        """Return who this entry is, as agents are told it."""
+        """Return this entry's owner name and former ones, as sent to agents."""
         return orders.EntryGreeting(self.owner(), self.former_owners())
 
-    def _tell_configuration(self, stream: Stream) -> None:
+    def _send_configuration(self, stream: Stream) -> None:
         value = self.configuration_value()
         if value is not None:
             stream.send(orders.ConfigurationTold(value))
 
     def _echo(self, clock_ms: int) -> orders.BeatEcho:
-        """Return this entry's word on a reading of an agent's clock."""
+        """Return the echo of a heartbeat that carries a reading of the agent's clock."""
         return orders.BeatEcho(clock_ms, self.holds_lease(), self.follows_table())
 
-    def _take(self, view: AgentView, message: object) -> None:
+    def _handle(self, view: AgentView, message: object) -> None:
         now_ms = self._timers.now_ms()
         dispatch = self.dispatch
         if isinstance(message, orders.AgentBeat):
@@ -146,7 +147,7 @@
             raise FrameError(f"unexpected message {type(message).__name__}")
 
     def close_silent_streams(self) -> None:
-        """Cut streams whose agent was not heard for too long."""
+        """Close streams on which no heartbeat came for ``STREAM_TIMEOUT_MS``."""
         limit_ms = self._timers.now_ms() - STREAM_TIMEOUT_MS
         for agent, stream in list(self._streams.items()):
             view = self.dispatch.fleet.agents.get(agent)
--- a/src/gapdrum/entry/store_access.py
+++ b/src/gapdrum/entry/store_access.py
@@ -1,4 +1,4 @@
-"""The entry's access to the store: what it believes of it, and how long calls take."""
+"""The entry's access to the store, with time-outs and a check of its availability."""
 
 from collections.abc import Awaitable
 from typing import TypeVar
@@ -11,16 +11,16 @@
 
 T = TypeVar("T")
 
-# A slowed store answers in 0.3 s; one that does not answer for longer is taken as away.
+# A slow store answers within 0.3 s; one that takes longer than this counts as unavailable.
 CALL_TIMEOUT_MS = 1_000
 UNRESPONSIVE_AFTER_MS = 500
 FAILURES_UNTIL_DOWN = 2
 
 
 class StoreAccess:
-    """Calls the store and keeps a belief of whether it can be reached.
+    """Calls the store and tracks whether it answers.
 
-    New work is refused at once while it can't, instead of being held for a time-out.
+    While it does not, new jobs are refused at once instead of waiting for a time-out.
     """
 
     def __init__(self, rows: RowStore, timers: Timers, log: EventLog) -> None:
@@ -36,7 +36,7 @@
 
     @property
     def up(self) -> bool:
-        """Tell whether the store is taken to answer."""
+        """Return whether the store counts as available."""
         return self._failures < FAILURES_UNTIL_DOWN and not self._is_silent()
 
     def _is_silent(self) -> bool:
@@ -48,11 +48,11 @@
 
     async def transact(self, transaction: Transaction) -> Committed | Conflict:
         """Try a transaction once; raises StoreError."""
-        return await self._watch(self._rows.transact(transaction, CALL_TIMEOUT_MS))
+        return await self._track(self._rows.transact(transaction, CALL_TIMEOUT_MS))
 
     async def read(self, table: str, part: str, first: str = "") -> Page:
         """Read a page of rows; raises StoreError."""
-        return await self._watch(self._rows.read(table, part, CALL_TIMEOUT_MS, first=first))
+        return await self._track(self._rows.read(table, part, CALL_TIMEOUT_MS, first=first))
 
     async def read_all(self, table: str, part: str) -> list[Row]:
         """Read all rows of a part, page by page; raises StoreError."""
@@ -66,9 +66,9 @@
 
     async def read_row(self, at: RowKey) -> Row | None:
         """Read one row, None if it does not exist; raises StoreError."""
-        return await self._watch(self._rows.read_row(at, CALL_TIMEOUT_MS))
+        return await self._track(self._rows.read_row(at, CALL_TIMEOUT_MS))
 
-    async def _watch(self, call: Awaitable[T]) -> T:
+    async def _track(self, call: Awaitable[T]) -> T:
         number = self._next_call = self._next_call + 1
         self.calls += 1
         self._pending[number] = self._timers.now_ms()
@@ -76,16 +76,16 @@
             result = await call
         except StoreError as error:
             self._failures += 1
-            self._note_change(error.message)
+            self._log_change(error.message)
             raise
         finally:
             del self._pending[number]
         self._failures = 0
         self._succeeded_ms = self._timers.now_ms()
-        self._note_change("answered")
+        self._log_change("answered")
         return result
 
-    def _note_change(self, reason: str) -> None:
+    def _log_change(self, reason: str) -> None:
         up = self._failures < FAILURES_UNTIL_DOWN
         if up == self._was_up:
             return
