--- a/src/gapdrum/entry/__init__.py
+++ b/src/gapdrum/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry program on the platform: takes jobs, owns them, and has agents run their tasks."""
+"""The entry program on the platform: accepts jobs, owns them, and sends their tasks to agents."""
--- a/src/gapdrum/entry/configuration_watch.py
+++ b/src/gapdrum/entry/configuration_watch.py
@@ -1,4 +1,4 @@
-"""Keeps the newest configuration in force in this process; its version never falls."""
+"""Keeps the newest configuration in force in this process; its version never decreases."""
 
 import asyncio
 import contextlib
@@ -12,45 +12,45 @@
 from gapdrum.platform.operator_table import CONFIGURATION_ROW
 from gapdrum.timers import MS_PER_S
 
-# A process that starts has its first configuration within a few calls of the store. To the caller
-# of a short job an answer that comes later than this is worth nothing.
+# A new process has its first configuration after a few calls of the store. Callers of short jobs
+# have no use for an answer that comes later than this.
 FIRST_WITHIN_MS = 500
 
 
 class ConfigurationWatch:
-    """Takes the configuration's row from the operators' table."""
+    """Applies the configuration's row of the operators' table."""
 
     def __init__(self, log: EventLog) -> None:
         self._log = log
         self.current: Configuration | None = None
-        self.value: bytes | None = None  # of its row, to tell other entries
+        self.value: bytes | None = None  # of its row, sent to other entries
         self.on_change: Callable[[Configuration], None] = lambda _configuration: None
         self.is_expected: Callable[[], bool] = lambda: True
-        self._taken = asyncio.Event()
+        self._applied = asyncio.Event()
 
     @property
     def known(self) -> bool:
-        """Tell whether there is a configuration yet."""
+        """Return whether a configuration is in force."""
         return self.current is not None
 
     async def first(self) -> Configuration | None:
-        """Return the configuration; wait a little for the first one while it is expected."""
+        """Return the configuration; wait ``FIRST_WITHIN_MS`` for an expected first one."""
         if self.current is None and self.is_expected():
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._taken.wait(), FIRST_WITHIN_MS / MS_PER_S)
+                await asyncio.wait_for(self._applied.wait(), FIRST_WITHIN_MS / MS_PER_S)
         return self.current
 
     def apply_table(self, news: TableNews) -> None:
-        """Take rows of the operators' table."""
+        """Apply the configuration's row, if it is among rows of the operators' table."""
         for row in news.rows:
             if row.at == CONFIGURATION_ROW and row.value is not None:
-                self._take_row(row, "table")
+                self._apply_row(row, "table")
 
     def apply_from_peer(self, value: bytes, source: str) -> None:
-        """Take the value of the configuration's row as another entry has told it."""
-        self._take_row(Row(CONFIGURATION_ROW, value, ABSENT), source)
+        """Apply the value of the configuration's row that another entry has sent."""
+        self._apply_row(Row(CONFIGURATION_ROW, value, ABSENT), source)
 
-    def _take_row(self, row: Row, source: str) -> None:
+    def _apply_row(self, row: Row, source: str) -> None:
         try:
             configuration = decode_configuration(row, self.current)
         except ValueError as error:
@@ -62,7 +62,7 @@
             return
         self.current = configuration
         self.value = row.value
-        self._taken.set()
+        self._applied.set()
         for finding in configuration.findings:
             self._log.write(
                 "configuration_finding",
--- a/src/gapdrum/entry/peer_configuration.py
+++ b/src/gapdrum/entry/peer_configuration.py
@@ -1,4 +1,4 @@
-"""Asks other entries for the configuration while the store does not tell it."""
+"""Fetches the configuration from other entries while the store is unavailable."""
 
 import asyncio
 import random
@@ -19,11 +19,11 @@
 
 
 class PeerConfigurationFetcher:
-    """Lets an entry that starts while the store is away serve callers.
+    """Lets an entry that starts during an outage of the store serve callers.
 
-    The entries that the settings name are asked in turn, only while this one has no configuration
+    The entries in the settings are asked one by one, only while this one has no configuration
     and its feed of the operators' table fails. An entry cut off from the store may answer with an
-    old one: the table replaces it as soon as it can be read.
+    old configuration: the table replaces it as soon as it can be read.
     """
 
     def __init__(
@@ -40,24 +40,24 @@
         self._log = log
         self._sent = sent
         self._received = received
-        self._silent: set[Endpoint] = set()  # peers whose silence has a line already
+        self._failed_peers: set[Endpoint] = set()  # peers whose failure is logged
 
     async def fetch_if_needed(self) -> None:
-        """Ask the other entries, if nothing else tells the configuration."""
+        """Ask the other entries, if no configuration is in force and the store is unavailable."""
         for peer in random.sample(self._peers, len(self._peers)):
             if self._configuration.known or not self.is_store_unavailable():
                 return
             try:
-                await self._ask(peer)
+                await self._fetch(peer)
             except (StreamClosedError, FrameError, TimeoutError) as error:
-                self._note_silence(peer, getattr(error, "code", "timed_out"))
+                self._log_failure(peer, getattr(error, "code", "timed_out"))
 
-    def _note_silence(self, peer: Endpoint, reason: str) -> None:
-        if peer not in self._silent:
-            self._silent.add(peer)
+    def _log_failure(self, peer: Endpoint, reason: str) -> None:
+        if peer not in self._failed_peers:
+            self._failed_peers.add(peer)
             self._log.write("configuration_not_told", peer=peer.host, reason=reason)
 
-    async def _ask(self, peer: Endpoint) -> None:
+    async def _fetch(self, peer: Endpoint) -> None:
         stream = await open_stream(
             peer.host, peer.port, self._sent, self._received, timeout_s=CONNECT_TIMEOUT_S
         )
--- a/src/gapdrum/entry/peer_notifier.py
+++ b/src/gapdrum/entry/peer_notifier.py
@@ -1,4 +1,4 @@
-"""Tells other entries what was decided here about jobs that they own."""
+"""Notifies peers (the other entries) of cancellations of jobs that they own."""
 
 import asyncio
 from collections import Counter
@@ -14,15 +14,15 @@
 from gapdrum.timers import MS_PER_S
 
 TRIES = 4
-RETRY_FIRST_MS = 100
-RETRY_MOST_MS = 800
+RETRY_MIN_MS = 100
+RETRY_MAX_MS = 800
 CONNECT_TIMEOUT_S = 0.6
-# The other entry ends the stream once it has read the message.
+# The peer closes the stream once it has read the message.
 READ_TIMEOUT_MS = 500
 
 
 class PeerNotifier:
-    """Sends messages to other entries, each on a stream of its own, as there are few."""
+    """Sends messages to peers, each on its own stream, as they are rare."""
 
     def __init__(
         self, store: StoreAccess, background: Background, log: EventLog,
@@ -35,17 +35,17 @@
         self._received = received
 
     def notify_cancelled(self, owner: str, job_id: str, epoch: int) -> None:
-        """Tell an owner that its job was cancelled here, under a higher epoch.
+        """Notify an owner that its job was cancelled here, under a higher epoch.
 
-        The agents that it uses may be unknown here, so only the owner can stop what runs there.
+        The owner's agents may not be connected here, so only the owner can stop the job's runs.
         """
-        self._background.spawn(self._tell(owner, JobCancelled(job_id, epoch)))
+        self._background.spawn(self._notify(owner, JobCancelled(job_id, epoch)))
 
-    async def _tell(self, owner: str, message: JobCancelled) -> None:
-        backoff = Backoff(RETRY_FIRST_MS, RETRY_MOST_MS)
+    async def _notify(self, owner: str, message: JobCancelled) -> None:
+        backoff = Backoff(RETRY_MIN_MS, RETRY_MAX_MS)
         for _ in range(TRIES):
             try:
-                await self._try_once(owner, message)
+                await self._send_once(owner, message)
             except (StoreError, StreamClosedError, FrameError, TimeoutError) as error:
                 reason = getattr(error, "code", "timed_out")
                 self._log.write(
@@ -55,10 +55,10 @@
             else:
                 return
 
-    async def _try_once(self, owner: str, message: JobCancelled) -> None:
+    async def _send_once(self, owner: str, message: JobCancelled) -> None:
         row = await self._store.read_row(address_row(entry_of_owner(owner)))
         if row is None:
-            return  # the owner has ended, and nothing runs in its name for long
+            return  # the owner has ended, and its runs are stopped soon
         address = load_record(row.value, EntryAddress)
         stream = await open_stream(
             address.host, address.port, self._sent, self._received, timeout_s=CONNECT_TIMEOUT_S
--- a/src/gapdrum/entry/program.py
+++ b/src/gapdrum/entry/program.py
@@ -42,20 +42,21 @@
 from gapdrum.transport.metrics_listener import open_metrics
 from gapdrum.zone_watch import ZoneWatch
 
-# The port that agents are told, where it is not the one that is listened at: behind a port
-# mapping, or a proxy in a test.
+# The port advertised to agents where it differs from the listening port: behind a port mapping,
+# or a proxy in a test.
 ADVERTISED_PORT_VARIABLE = "GAPDRUM_STREAMS_ADVERTISED_PORT"
 LINK_CHECK_INTERVAL_MS = 500
 TAKEOVER_INTERVAL_MS = 100
 REACH_INTERVAL_MS = 250
-# The balancer takes an instance out after two misses, a second apart; until then, work comes.
+# The load balancer removes an instance after two failed checks, a second apart; until then,
+# requests arrive.
 KEEP_SERVING_MS = 2_500
-# Stored jobs are handed over so long before the end of the time allowed: others need time to
-# find them, and the lease must have been given up before.
+# Durable jobs are handed over this long before the shutdown limit: peers need time to find them,
+# and the lease must have been released before.
 HAND_OVER_BEFORE_END_MS = 1_500
-# Callers that still wait so long before the end are told that nothing is known.
+# Callers that still wait this long before the limit are answered that nothing is known.
 ANSWER_BEFORE_END_MS = 500
-# The process itself must be gone before the end, or it is killed.
+# The process must exit before the limit, or it is killed.
 EXIT_BEFORE_END_MS = 250
 BUSY_POLL_MS = 20
 
@@ -77,7 +78,7 @@
         self.writer = GroupCommitWriter(self.store, self.background)
         self.operators = OperatorFeed(RowStore(boot.store, log), timers, log)
         self.configuration = ConfigurationWatch(log)
-        self.inquiry = PeerConfigurationFetcher(
+        self.configuration_fetcher = PeerConfigurationFetcher(
             self.configuration, _peers(boot), log, self.sent, self.received
         )
         self.zones = ZoneWatch(log)
@@ -94,18 +95,20 @@
         )
         self.queue_demand = QueueDemandPublisher(self.links, self.dispatch.placer, timers)
         peers = PeerNotifier(self.store, self.background, log, self.sent, self.received)
-        self.endings = JobEndRecorder(
+        self.job_ends = JobEndRecorder(
             self.store, self.writer, self.dispatch, self.links, peers, timers, log
         )
         self.reach = Reach()
-        self.acceptor = Acceptor(self.store, self.writer, self.lease, timers, log, self._own)
+        self.acceptor = Acceptor(
+            self.store, self.writer, self.lease, timers, log, self._add_accepted_job
+        )
         self.takeover = self._build_takeover()
         self.callers = WaitingCallers(self.dispatch, self.lease, timers, log)
-        self.front = self._build_front()
+        self.job_api = self._build_job_api()
         self.limits = HttpLimits()
-        self.listener = HttpListener(self.front.handle, self.limits, timers)
+        self.listener = HttpListener(self.job_api.handle, self.limits, timers)
         self.readiness = HttpListener(self._show_readiness, HttpLimits(), timers)
-        self.control = HttpListener(self._decline_report, HttpLimits(), timers)
+        self.control = HttpListener(self._reject_report, HttpLimits(), timers)
         self._wire()
         self._add_gauges()
 
@@ -117,20 +120,20 @@
             self.dispatch,
             self.links,
             self.acceptor,
-            self.endings,
+            self.job_ends,
             self.configuration,
             self.timers,
             self.log,
         )
 
-    def _build_front(self) -> JobApi:
+    def _build_job_api(self) -> JobApi:
         return JobApi(
             self.configuration,
             self.dispatch,
             self.acceptor,
             Admission(self.dispatch.placer, self.timers, self.lease.peer_views),
             self.callers,
-            self.endings,
+            self.job_ends,
             self.store,
             self.lease,
             self.log,
@@ -157,16 +160,16 @@
     def _wire(self) -> None:
         self.operators.subscribe(self.zones.apply_table)
         self.operators.subscribe(self.configuration.apply_table)
-        self.configuration.on_change = self._take_configuration
+        self.configuration.on_change = self._apply_configuration
         self.configuration.is_expected = lambda: not self.operators.is_failing
-        self.inquiry.is_store_unavailable = lambda: self.operators.is_failing
+        self.configuration_fetcher.is_store_unavailable = lambda: self.operators.is_failing
         self.links.configuration_value = lambda: self.configuration.value
-        self.listener.on_refused = self.front.refusals.count
-        self.zones.on_change = self._take_zones
+        self.listener.on_refused = self.job_api.refusals.count
+        self.zones.on_change = self._apply_zone_drains
         self.lease.count_waiting = self.dispatch.count_waiting
-        self.lease.view_agents = self._view_agents
+        self.lease.view_agents = self._visible_capacity
         self.lease.on_orphaned_jobs = self.takeover.request_scan
-        self.lease.on_lease_lost = self._lose_lease
+        self.lease.on_lease_lost = self._drop_durable_jobs
         self.links.dispatch = self.dispatch
         self.links.owner = lambda: self.lease.owner
         self.links.former_owners = lambda: tuple(self.lease.former_owners)
@@ -175,33 +178,33 @@
         self.links.zones = self.zones
         self.links.follows_table = lambda: self.operators.is_followed
 
-    # What decisions lead to, see ``core.dispatch.Outside``.
+    # Effects of the dispatch's decisions, see ``core.effects.Effects``.
 
     def send(self, agent: str, message: object) -> bool:
         """Send a message to an agent."""
         return self.links.send(agent, message)
 
     def job_ended(self, job: Job) -> None:
-        """Store a job's end, or answer the callers that wait for it."""
+        """Store the end of a durable job, or answer the callers of a non-durable one."""
         if job.durable:
-            self.endings.store_end(job)
+            self.job_ends.store_end(job)
         else:
             self.callers.complete_job(job)
 
     def job_refused(self, job: Job) -> None:
-        """Tell the callers of a job that it has not run and will not."""
+        """Answer the callers of a job that it has not run and will not run."""
         self.callers.refuse(job)
 
     def on_unowned_end(self, place: Place, event: orders.RunEvent) -> None:
-        """Find out about an end of another's job."""
-        self.endings.resolve_unowned_end(place, event)
+        """Handle the end of a run whose job is not open at this entry."""
+        self.job_ends.resolve_unowned_end(place, event)
 
     def has_ended(self, job_id: str) -> bool:
-        """Tell whether a job is known to have ended."""
-        return self.endings.known_state(job_id) is not None
+        """Return whether a job is known to have ended."""
+        return self.job_ends.known_state(job_id) is not None
 
     def schedule_placement(self) -> None:
-        """Place what waits at the end of this turn of the loop."""
+        """Schedule one placement of waiting tasks, after the event loop's present callbacks."""
         if not self._placing:
             self._placing = True
             asyncio.get_running_loop().call_soon(self._place)
@@ -216,15 +219,15 @@
         self.demand.publish(placer.demand)
 
     def note(self, event: str, **fields: object) -> None:
-        """Record a decision."""
+        """Log a decision."""
         self.log.write(event, **fields)
 
     # Events.
 
-    def _own(self, job: Job) -> None:
+    def _add_accepted_job(self, job: Job) -> None:
         self.dispatch.add_job(job, self.timers.now_ms())
 
-    def _take_configuration(self, configuration: Configuration) -> None:
+    def _apply_configuration(self, configuration: Configuration) -> None:
         self.limits.max_header_bytes = configuration.max_header_bytes
         self.limits.max_body_bytes = configuration.max_body_bytes
         self.limits.header_timeout_ms = configuration.header_timeout_ms
@@ -235,14 +238,14 @@
             if queue is not None:
                 job.upstream = queue.upstream
 
-    def _take_zones(self) -> None:
-        """Place nothing more in drained zones, and tell the agents."""
+    def _apply_zone_drains(self) -> None:
+        """Stop placement in drained zones, and notify the agents."""
         self.dispatch.fleet.drained_zones = self.zones.drains.zones
         self.links.broadcast(self.zones.drains_told())
         self.schedule_placement()
 
-    def _lose_lease(self) -> None:
-        """Let go of everything: another entry has ended this life and owns the jobs."""
+    def _drop_durable_jobs(self) -> None:
+        """Drop all durable jobs: a peer has ended the lease and takes them over."""
         for job in list(self.dispatch.jobs.values()):
             if job.durable:
                 self.dispatch.drop_job(job.job_id, "lease_lost")
@@ -254,10 +257,10 @@
         return json_response(200 if ready else 503, {"ready": ready})
 
     @staticmethod
-    def _decline_report(_request: HttpRequest) -> HttpResponse:
-        """Turn a runner's report away: the agent beside it takes them.
+    def _reject_report(_request: HttpRequest) -> HttpResponse:
+        """Reject a runner's report, which belongs to the agent on its host.
 
-        Entries listen for reports only so that the settings of others name them as seeds.
+        Entries listen for reports only so that the settings of others can list them as seeds.
         """
         return json_response(503, {"code": "not_an_agent"})
 
@@ -269,12 +272,12 @@
         self._place_waiting()
         self.dispatch.refuse_unmeetable(now_ms)
 
-    def _view_agents(self) -> VisibleCapacity:
+    def _visible_capacity(self) -> VisibleCapacity:
         fleet = self.dispatch.fleet
         return VisibleCapacity(fleet.count_open_agents(), fleet.free_permille())
 
-    def _judge_reach(self) -> None:
-        own, others = self._view_agents(), self.lease.peer_views()
+    def _adjust_reach(self) -> None:
+        own, others = self._visible_capacity(), self.lease.peer_views()
         work_waits = bool(self.dispatch.placer.demand)
         if self.leaving or not self.reach.adjust(own, others, work_waits, self.timers.now_ms()):
             return
@@ -298,7 +301,7 @@
         stopping = asyncio.Event()
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, stopping.set)
-        loop.add_signal_handler(signal.SIGHUP, self._note_reload)
+        loop.add_signal_handler(signal.SIGHUP, self._log_reload)
         boot = self.boot
         await self.links.listen(boot.host, boot.streams_port)
         await self.readiness.open(boot.readiness.host, boot.readiness.port)
@@ -309,34 +312,34 @@
         await self.listener.open(boot.callers.host, boot.callers.port)
         await open_metrics(boot.host, self.log.measures, self.timers)
         self.timers.subscribe(TICK_MS, self._tick)
-        self.timers.subscribe(FETCH_INTERVAL_MS, self.inquiry.fetch_if_needed)
-        self.timers.subscribe(WRITE_INTERVAL_MS, self.front.refusals.write)
+        self.timers.subscribe(FETCH_INTERVAL_MS, self.configuration_fetcher.fetch_if_needed)
+        self.timers.subscribe(WRITE_INTERVAL_MS, self.job_api.refusals.write)
         self.timers.subscribe(LINK_CHECK_INTERVAL_MS, self.links.close_silent_streams)
-        self.timers.subscribe(REACH_INTERVAL_MS, self._judge_reach)
+        self.timers.subscribe(REACH_INTERVAL_MS, self._adjust_reach)
         self.timers.subscribe(QUEUE_DEMAND_INTERVAL_MS, self.queue_demand.publish)
         self.timers.subscribe(TAKEOVER_INTERVAL_MS, self.takeover.scan_if_due)
-        self.timers.subscribe(PROGRESS_INTERVAL_MS, self.endings.store_progress)
+        self.timers.subscribe(PROGRESS_INTERVAL_MS, self.job_ends.store_progress)
         self.log.write("started", role="entry", zone=boot.zone, life=self.lease.incarnation)
         await stopping.wait()
         await self._shut_down()
         self.background.stop()
         return 0
 
-    def _note_reload(self) -> None:
+    def _log_reload(self) -> None:
         self.log.write("settings_signal", note="read again at the next start")
 
     async def _shut_down(self) -> None:
-        """Leave the balancer, answer what is open, and hand the jobs over.
+        """Leave the load balancer, answer open requests, and hand the durable jobs over.
 
-        Each connection ends with its next answer, so that its caller comes back elsewhere.
-        Whatever fits into the time that is left is still served.
+        Each connection is closed after its next answer, so that its caller reconnects elsewhere.
+        Jobs that fit into the remaining time are still served.
         """
         began_ms = self.timers.now_ms()
         self.leaving = True
         self.log.write("stopping", open=len(self.dispatch.jobs))
         end_ms = began_ms + self.boot.shutdown_grace_ms
         answered_ms = end_ms - ANSWER_BEFORE_END_MS
-        self.front.leave(PlannedShutdown(answered_ms, self.boot.resubmit_ms))
+        self.job_api.leave(PlannedShutdown(answered_ms, self.boot.resubmit_ms))
         self.listener.start_closing()
         await asyncio.sleep(KEEP_SERVING_MS / MS_PER_S)
         self.listener.close_idle()
@@ -345,11 +348,11 @@
         await self.lease.leave()
         await self._wait_while(self.listener.busy_connections, answered_ms)
         self.callers.give_up()
-        # Nothing may be read any more that would not be answered.
+        # From here on no request may be read, as it would not be answered.
         self.listener.close()
         self.listener.close_idle()
         await self._wait_while(self.listener.busy_connections, end_ms - EXIT_BEFORE_END_MS)
-        self.front.refusals.write()
+        self.job_api.refusals.write()
         self.log.write("stopped", jobs_handed_over=jobs_left)
         self.log.flush()
 
@@ -359,12 +362,12 @@
 
 
 def _advertised_port(boot: BootSettings) -> int:
-    """Return the port at which agents are to reach the streams."""
+    """Return the port at which agents connect their streams."""
     return int(os.environ.get(ADVERTISED_PORT_VARIABLE, boot.streams_port))
 
 
 def _peers(boot: BootSettings) -> tuple[Endpoint, ...]:
-    """Return where the other entries that the settings name take streams: at the same port."""
+    """Return the stream endpoints of the other entries in the settings: all at the same port."""
     hosts = {seed.host for seed in boot.seeds} - {boot.host}
     return tuple(Endpoint(host, boot.streams_port) for host in sorted(hosts))
 
--- a/src/gapdrum/entry/queue_demand.py
+++ b/src/gapdrum/entry/queue_demand.py
@@ -1,19 +1,19 @@
-"""Tells agents what the queues ask for at this entry, while room is scarce."""
+"""Sends agents the demand of each queue at this entry, while room is scarce."""
 
 from gapdrum.core import orders
 from gapdrum.core.placer import Placer
 from gapdrum.entry.links import AgentLinks
 from gapdrum.timers import Timers
 
-# Agents that begin anew know all demand after this time, and forget it after three misses.
+# Agents that restart know all demand after this time; they drop it after three missed messages.
 QUEUE_DEMAND_INTERVAL_MS = 500
-# While more of the room is free nothing needs to be kept, and agents are told nothing unless
-# operators have set shares.
+# While more room is free none needs to be reserved, and nothing is sent unless operators have set
+# shares.
 SCARCE_PERMILLE = 350
 
 
 class QueueDemandPublisher:
-    """Repeats the demand of all queues, as agents forget what is not told again."""
+    """Repeats the demand of all queues, as agents drop demand that is not repeated."""
 
     def __init__(self, links: AgentLinks, placer: Placer, timers: Timers) -> None:
         self._links = links
@@ -21,7 +21,7 @@
         self._timers = timers
 
     def publish(self) -> None:
-        """Tell all agents, if little room is left."""
+        """Send the demand to all agents, if room is scarce or operators have set shares."""
         fleet = self._placer.fleet
         meter = self._placer.meter
         if fleet.free_permille() > SCARCE_PERMILLE and not meter.has_own_shares:
--- a/src/gapdrum/entry/refusal_counts.py
+++ b/src/gapdrum/entry/refusal_counts.py
@@ -1,4 +1,4 @@
-"""Counts the refusals of requests that were not read as a job."""
+"""Counts refused requests that were not read as a job."""
 
 from collections import Counter
 
@@ -8,10 +8,10 @@
 
 
 class RefusalCounts:
-    """Refusals by status and reason, written once a second.
+    """Refusals by status and reason, logged once a second.
 
-    No line of a job tells of them, and a line for each would crowd out those of jobs when all
-    callers are turned away::
+    They have no job to be logged with, and a line for each would crowd out the lines of jobs
+    when all callers are refused::
 
         counts.count(503, "no_configuration")
         counts.count(503, "no_configuration")
@@ -27,9 +27,9 @@
         self._counts[status, reason] += 1
 
     def write(self) -> None:
-        """Write a line for each status and reason counted since the last time."""
+        """Log a line for each status and reason counted since the last call."""
         counts, self._counts = self._counts, Counter()
         for (status, reason), count in counts.items():
             self._log.write("requests_refused", reason=reason, status=status, count=count)
-            # The line has counted as one.
+            # Writing the line has counted one event.
             self._log.measures.events["requests_refused", reason] += count - 1
