--- a/features/steps/submission_steps.py
+++ b/features/steps/submission_steps.py
@@ -139,7 +139,7 @@
 
     def leave(self):
         """Let the caller leave: what runs is stopped, and the job is dropped."""
-        self.callers._remove_caller(JOB, asyncio.Future(loop=asyncio.new_event_loop()))
+        self.callers._leave(JOB, asyncio.Future(loop=asyncio.new_event_loop()))
 
     def start_all(self):
         """Order the tasks that wait, and let the runner show them at work; return their keys."""
--- a/src/gapdrum/entry/waiting_callers.py
+++ b/src/gapdrum/entry/waiting_callers.py
@@ -78,7 +78,7 @@
             return WaitOutcome(known)
         # If this process was suspended, the request may have arrived long before it was read.
         caller = attrs.evolve(caller, received_ms=self._pauses.earliest_ms(caller.received_ms))
-        remaining_s = self._remaining_s(caller)
+        remaining_s = self._left_s(caller)
         if remaining_s == 0 or caller.closed.done():
             # A run that starts now could overlap with those of the caller's resubmission.
             self._log_gone(job_id, caller)
@@ -101,10 +101,10 @@
         if ended.done():
             return ended.result()
         self._log_gone(job_id, caller)
-        self._remove_caller(job_id, ended)
+        self._leave(job_id, ended)
         return WaitOutcome()
 
-    def _remaining_s(self, caller: Caller) -> float | None:
+    def _left_s(self, caller: Caller) -> float | None:
         if caller.until_ms is None:
             return None
         return max(0, caller.until_ms - self._timers.now_ms()) / MS_PER_S
@@ -147,9 +147,7 @@
         )
         self._dispatch.add_job(job, now_ms)
 
-    def _remove_caller(
-        self, job_id: str, ended: asyncio.Future, reason: str = "caller_gone"
-    ) -> None:
+    def _leave(self, job_id: str, ended: asyncio.Future, reason: str = "caller_gone") -> None:
         callers = self._callers.get(job_id, set())
         callers.discard(ended)
         job = self._dispatch.jobs.get(job_id)
@@ -174,7 +172,7 @@
         """Answer all callers that the outcome of their job is unknown, and stop its runs."""
         for job_id, callers in list(self._callers.items()):
             for ended in list(callers):
-                self._remove_caller(job_id, ended, "entry_ends")
+                self._leave(job_id, ended, "entry_ends")
                 if not ended.done():
                     ended.set_result(WaitOutcome())
 
