--- a/features/admission.feature
+++ b/features/admission.feature
@@ -1,8 +1,8 @@
 Feature: a job is not refused as overload while there is room for it
   The wait of a new job is estimated from the work ahead and the rate at which work was placed lately.
 
-  # The load: an entry that has just started, or served little, and then gets several jobs at once. By
-  # its low rate any work ahead was taken for a long wait, though it saw hundreds of free cores.
+  # Guards against refusals at an entry that has just started, or placed little, and gets several jobs
+  # at once: by its low placement rate any queued work looks like a long wait, though cores are free.
   Scenario Outline: an entry that has placed little lately
     Given an owner that sees one runner
     And the agent tells that it holds nothing
--- a/features/caller_deadlines.feature
+++ b/features/caller_deadlines.feature
@@ -1,8 +1,7 @@
 Feature: a caller that waits does so for a stated time, and nothing runs for it after that
-  What happened: a task of a waiting caller was at work at two runners at once. A caller says how
-  long it waits for its answer, and nobody read that. When its connection was cut and no reset
-  came, the entry took it for one that still waits and let its tasks run on, while the caller
-  sent the job again to another entry, which had never heard of it and started them all.
+  Guards against a task that runs at two runners at once. A caller's connection breaks without a
+  reset; an entry that ignores the caller's stated waiting time lets the job's tasks run on, while
+  the caller submits the job again to another entry, which does not know it and starts all tasks.
 
   Scenario: a caller falls silent, and submits its job again elsewhere after its time is over
     Given a platform with 2 entries and 2 agents
@@ -115,7 +114,7 @@
     When the same job is asked for by a caller whose time is over already
     Then the caller is told "succeeded", and no run was stopped
 
-  Scenario: a request that was read too late begins nothing
+  Scenario: a request that is read after its caller's time is over begins no job
     Given callers of an entry that decides without processes
     When a job is asked for by a caller whose time is over already
     Then the caller is told that nothing is known, and no job was begun
--- a/features/steps/caller_deadline_steps.py
+++ b/features/steps/caller_deadline_steps.py
@@ -123,7 +123,7 @@
     def latest_ms():
         return max((row["waited_ms"] for row in callers_gone(context)), default=0)
 
-    # An earlier caller of the same job may have been logged alone so far.
+    # The line of an earlier caller of the same job may come first.
     wait_for(lambda: latest_ms() >= limit_ms, "the line")
     assert latest_ms() <= limit_ms + LATE_MS, callers_gone(context)
     for row in callers_gone(context):
@@ -174,7 +174,7 @@
 
 
 class FakeDispatch:
-    """Takes jobs and stops them, and runs nothing."""
+    """Records the jobs that are added, stopped and dropped; runs nothing."""
 
     def __init__(self):
         self.jobs = {}
@@ -199,7 +199,7 @@
 
 
 class FakeLog:
-    """Remembers the events that were written."""
+    """Records the events that are written."""
 
     def __init__(self):
         self.events = []
@@ -215,7 +215,7 @@
 
 
 def ask(context, limit_ms, waited_ms, meanwhile=lambda: None):
-    """Let a caller ask for a job, and do something else as soon as the job has begun."""
+    """Let a caller submit a job, and call ``meanwhile`` as soon as the job has begun."""
 
     async def run():
         closed = asyncio.get_running_loop().create_future()
@@ -234,7 +234,7 @@
 )
 def end_in_time(context, limit_ms):
     def end_late():
-        # The loop is held up beyond the limit: the end and the time-out come in the same turn.
+        # The event loop is blocked beyond the limit: end and time-out come in the same turn.
         time.sleep(2 * limit_ms / MS_PER_S)
         job = context.dispatch.jobs[JOB]
         job.ending = JobState.SUCCEEDED
--- a/features/steps/refusal_steps.py
+++ b/features/steps/refusal_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what callers are told when a job does not run where it was handed in."""
+"""Steps on what callers are told when a job does not run where it was submitted."""
 
 import asyncio
 import json
@@ -48,7 +48,7 @@
 
 
 class LineLog(EventLog):
-    """Remembers the lines that were written, and counts them."""
+    """Records the lines that are written, and counts them."""
 
     def __init__(self, timers):
         super().__init__("entry-1", timers)
@@ -75,7 +75,7 @@
 
 
 class FakeTransport:
-    """Remembers what was written to a caller's connection, and whether it was ended."""
+    """Records what is written to a caller's connection, and whether it is closed."""
 
     def __init__(self):
         self.written = b""
@@ -92,7 +92,7 @@
 
 
 def build_entry(context):
-    """Build what answers callers, with a store that answers and runners that never start a job."""
+    """Build an entry's HTTP API, with a store that answers and a dispatch that runs nothing."""
     context.timers = ManualTimers()
     context.log = LineLog(context.timers)
     context.lease = SimpleNamespace(owner=OWNER, valid=True)
@@ -151,8 +151,8 @@
     return asking.result() if asking.done() else None
 
 
-def hand_in(context, body, meanwhile=lambda: None):
-    """Hand a job in; return the answer, None if there is none yet."""
+def submit_job(context, body, meanwhile=lambda: None):
+    """Submit a job; return the answer, None if there is none yet."""
 
     async def send():
         return await ask(context, request_of(context, body), meanwhile)
@@ -171,9 +171,9 @@
     context.lease.valid = state == "held"
 
 
-@when("a caller hands in a {kind} job of {work_ms:d} ms there")
-def handed_in(context, kind, work_ms):
-    context.reply = hand_in(context, body_of(work_ms, waits=kind == "waiting"))
+@when("a caller submits a {kind} job of {work_ms:d} ms there")
+def job_submitted(context, kind, work_ms):
+    context.reply = submit_job(context, body_of(work_ms, waits=kind == "waiting"))
 
 
 @then("the answer is none yet")
@@ -200,7 +200,7 @@
     assert context.reply.retry_after_s > 0
 
 
-@then('a line "{event}" tells the reason "{reason}" and the status {status:d}')
+@then('a line "{event}" has the reason "{reason}" and the status {status:d}')
 def line_written(context, event, reason, status):
     (fields,) = context.log.fields_of(event)
     assert (fields["reason"], fields["status"]) == (reason, status), fields
@@ -212,7 +212,7 @@
 
 @attrs.frozen
 class LongJob:
-    """A job that reaches a leaving entry: its time left there, its work as stated and as it is."""
+    """A job that reaches an entry in shutdown: the time left, its stated and its real work."""
 
     left_ms: int
     stated_ms: int
@@ -261,14 +261,14 @@
     assert len(cut_off) < len(context.taken) / 20, (len(cut_off), len(context.taken))
 
 
-# Refusals of which no job's line tells.
+# Refusals that are not logged with a job.
 
 
-@given("an entry without a configuration, which {state}")
+@given("an entry whose configuration {state}")
 def entry_without_configuration(context, state):
     build_entry(context)
     context.configuration = ConfigurationWatch(context.log)
-    context.configuration.is_expected = lambda: state == "is on its way"
+    context.configuration.is_expected = lambda: state == "is not read yet"
     context.front._configuration = context.configuration
 
 
@@ -283,8 +283,8 @@
     context.writer.refuses = True
 
 
-@when("{count:d} callers hand in a waiting job of {work_ms:d} ms there within a second")
-def many_hand_in(context, count, work_ms):
+@when("{count:d} callers submit a waiting job of {work_ms:d} ms there within a second")
+def many_submit(context, count, work_ms):
     async def send():
         body = body_of(work_ms, waits=True)
         requests = [request_of(context, body, f"{number:016x}") for number in range(count)]
@@ -304,7 +304,7 @@
         assert document["not_run"] is True and reply.retry_after_s > 0, reply
 
 
-@then('one line "{event}" tells the reason "{reason}" and {count:d} refusals')
+@then('one line "{event}" has the reason "{reason}" and {count:d} refusals')
 def refusals_written(context, event, reason, count):
     context.front.refusals.write()
     (fields,) = context.log.fields_of(event)
@@ -316,16 +316,16 @@
     assert context.log.measures.events[event, reason] == count, context.log.measures.events
 
 
-@when("a caller hands in a waiting job of {work_ms:d} ms, and the configuration comes")
+@when("a caller submits a waiting job of {work_ms:d} ms, and the configuration comes")
 def configuration_comes(context, work_ms):
     body = body_of(work_ms, waits=True)
-    context.reply = hand_in(context, body, lambda: take_configuration(context, 1))
+    context.reply = submit_job(context, body, lambda: take_configuration(context, 1))
 
 
-@when("a caller hands in a waiting job of {work_ms:d} ms, and the configuration does not come")
+@when("a caller submits a waiting job of {work_ms:d} ms, and the configuration does not come")
 def configuration_stays_away(context, work_ms):
     with patch.object(configuration_watch, "FIRST_WITHIN_MS", 5):
-        context.reply = hand_in(context, body_of(work_ms, waits=True))
+        context.reply = submit_job(context, body_of(work_ms, waits=True))
 
 
 @when("the configuration's row is gone")
@@ -348,9 +348,9 @@
     context.configuration.is_expected = lambda: False
 
 
-@then("a caller that hands in a waiting job of {work_ms:d} ms is not refused")
+@then("a caller that submits a waiting job of {work_ms:d} ms is not refused")
 def not_refused(context, work_ms):
-    context.reply = hand_in(context, body_of(work_ms, waits=True))
+    context.reply = submit_job(context, body_of(work_ms, waits=True))
     no_answer_yet(context)
 
 
@@ -456,13 +456,13 @@
 
 @then("the entry ends the connection")
 def connection_ended(context):
-    # asyncio closes a transport whose protocol returns nothing true at the end of what it reads.
+    # asyncio closes the transport if the protocol's ``eof_received`` returns a false value.
     assert not context.kept_open
 
 
 @when("a caller waits for a job of {work_ms:d} ms until the entry ends")
 def waits_until_end(context, work_ms):
-    context.reply = hand_in(context, body_of(work_ms, waits=True), context.callers.give_up)
+    context.reply = submit_job(context, body_of(work_ms, waits=True), context.callers.give_up)
 
 
 @then("the job is dropped, as the entry ends")
@@ -470,7 +470,7 @@
     assert context.dispatch.dropped == [(JOB, "entry_ends")], context.dispatch.dropped
 
 
-# Sums.
+# Losses, summed up from log lines.
 
 
 def line(at_ms, entry, event, **fields):
@@ -514,7 +514,7 @@
 
 
 class PeerStream:
-    """A stream to another entry, which gives its answers as if they had come over the wire."""
+    """A stream to another entry, whose answers are encoded and decoded as on the wire."""
 
     def __init__(self, links):
         self.links = links
@@ -534,7 +534,7 @@
 
 
 class PeerSide:
-    """The other entry's side: one message comes, and what is sent is kept."""
+    """The other entry's side of a stream: receives one message, and records what is sent."""
 
     def __init__(self, message, answers):
         self.message = message
@@ -549,7 +549,7 @@
 
 
 class RawStream:
-    """A stream on which given bytes come, or nothing at all."""
+    """A stream that receives given bytes, or nothing."""
 
     def __init__(self, frame=None):
         self.frame = frame
@@ -568,7 +568,7 @@
 
 
 def build_inquiry(context, value):
-    """Let the entry ask one other entry, whose configuration has a value."""
+    """Let the entry ask one other entry, which sends ``value`` as its configuration."""
     links = AgentLinks(context.timers, context.log, Counter(), Counter())
     links.configuration_value = lambda: value
     context.open_stream = lambda: PeerStream(links)
@@ -610,14 +610,14 @@
         asyncio.run(context.inquiry.fetch_if_needed())
 
 
-@when("it asks the other entry, and then the store tells version {version:d}")
+@when("it asks the other entry, and then the store returns version {version:d}")
 def asks_and_reads(context, version):
     asks(context)
     assert context.configuration.current.version == 7
     take_configuration(context, version)
 
 
-@when("the store tells version {version:d}, and the other entry's word comes after that")
+@when("the store returns version {version:d}, and the other entry's answer comes after that")
 def reads_and_hears(context, version):
     take_configuration(context, version)
     context.configuration.apply_from_peer(document_of(7), "10.0.0.2")
--- a/features/steps/submission_steps.py
+++ b/features/steps/submission_steps.py
@@ -1,7 +1,7 @@
-"""Steps on jobs that their caller submits again: an agent and an owner, each whole, in manual time.
+"""Steps on jobs that are submitted again, with a complete agent and owner in manual time.
 
-What one of them sends is kept until the scenario delivers it to the other, so that a message can be
-late, or come on the next stream.
+Messages are kept until the scenario delivers them, so that a message can be late, or come on the
+next stream.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
 
 
 class ListingRunner(base.LeasedRunner):
-    """Answers looks with what runs and all ends of its life."""
+    """Answers polls with its running tasks and all ends since its start."""
 
     def __init__(self, timers):
         super().__init__(timers)
@@ -50,12 +50,12 @@
         self.timers: ManualTimers = context.timers
         context.runner = context.controller._context.calls = ListingRunner(self.timers)
         context.controller.ledger.upstream = QUEUE.upstream
-        self.outside = Effects()
+        self.effects = Effects()
         self.dispatch = build_dispatch(
-            "plaine-nord", self.outside, lambda: True, self.timers.now_ms()
+            "plaine-nord", self.effects, lambda: True, self.timers.now_ms()
         )
         self.callers = WaitingCallers(self.dispatch, FakeLease(), self.timers, FakeLog())
-        self.outside.job_ended = self._end_job
+        self.effects.job_ended = self._end_job
         self.ended = []
         self.view = None
 
@@ -65,7 +65,7 @@
     # Streams.
 
     def join(self, owner=OWNER, former_owners=()):
-        """Open a stream, and deliver what the agent tells on it."""
+        """Open a stream between the agent and the owner."""
         greeting = self.agent._greet()
         self.view = self.dispatch.fleet.agent_joined(greeting, self.timers.now_ms())
         self.link.stream = base.FakeStream()
@@ -73,10 +73,10 @@
         self.echo()
 
     def part(self):
-        """End the stream; what was under way on it is lost."""
+        """End the stream; messages under way are lost."""
         self.agent.links._end_stream(self.link)
         self.dispatch.fleet.agent_left(self.view)
-        self.outside.sent.clear()
+        self.effects.sent.clear()
 
     def echo(self):
         now_ms = self.timers.now_ms()
@@ -84,21 +84,21 @@
         self.agent.orders.take(self.link, orders.BeatEcho(now_ms, True, False))
 
     def drain_sent(self):
-        """Take what the agent has sent on its present stream off it."""
-        told = list(self.link.stream.sent)
+        """Remove and return what the agent has sent on its present stream."""
+        messages = list(self.link.stream.sent)
         self.link.stream.sent.clear()
-        return told
+        return messages
 
-    def deliver(self, told):
+    def deliver(self, messages):
         """Deliver messages of the agent to the owner."""
-        takers = {
+        handlers = {
             orders.RunEvents: self.dispatch.apply_events,
             orders.Holdings: self.dispatch.apply_holdings,
             orders.RunnerReport: self.dispatch.apply_report,
         }
-        for message in told:
-            if type(message) in takers:
-                takers[type(message)](self.view, message, self.timers.now_ms())
+        for message in messages:
+            if type(message) in handlers:
+                handlers[type(message)](self.view, message, self.timers.now_ms())
             elif isinstance(message, orders.RoomReport):
                 self.dispatch.apply_room(self.view, message)
 
@@ -108,20 +108,20 @@
         self.deliver(self.drain_sent())
 
     def deliver_to_agent(self):
-        """Place what waits, and deliver what the owner has sent; return the orders to start."""
+        """Place waiting tasks, and deliver what the owner has sent; return the start orders."""
         self.dispatch.placer.place_waiting(self.timers.now_ms())
-        sent = [one for one in self.outside.sent if not isinstance(one, tuple)]
-        self.outside.sent.clear()
+        sent = [one for one in self.effects.sent if not isinstance(one, tuple)]
+        self.effects.sent.clear()
         for message in sent:
             self.agent.orders.take(self.link, message)
         return [message for message in sent if isinstance(message, orders.StartOrder)]
 
     def poll(self):
-        """Let the agent look at its runner once."""
+        """Let the agent poll its runner once."""
         base.step(self.context)
 
     def pass_time(self, time_ms):
-        """Let time pass with a beat, an echo and a look now and then."""
+        """Let time pass, with an echo, a poll and a delivery every ``BEAT_MS``."""
         for _ in range(0, time_ms, BEAT_MS):
             self.timers.time_ms += BEAT_MS
             self.echo()
@@ -138,11 +138,11 @@
         return self.dispatch.jobs[JOB].tasks
 
     def leave(self):
-        """Let the caller leave: what runs is stopped, and the job is dropped."""
+        """Let the caller leave: its runs are stopped, and the job is dropped."""
         self.callers._leave(JOB, asyncio.Future(loop=asyncio.new_event_loop()))
 
     def start_all(self):
-        """Order the tasks that wait, and let the runner show them at work; return their keys."""
+        """Order the waiting tasks, and let the runner report them as running; return their keys."""
         keys = [order.key_of(row) for order in self.deliver_to_agent() for row in order.runs]
         for run in self.context.runs:
             run.calling = False
@@ -217,7 +217,7 @@
     assert not any(task.failed_attempts for task in context.tasks)
 
 
-@then("the agent has told of each run once")
+@then("the agent has reported each run once")
 def told_once(context):
     held = [row for one in context.told if isinstance(one, orders.Holdings) for row in one.runs]
     names = [(row.task, row.attempt) for row in held]
@@ -225,13 +225,13 @@
 
 
 def end_all(context, keys, end):
-    """Let runs end, and the agent note it; its owner is not told yet."""
+    """Let runs end, and the agent see it; the owner is not notified yet."""
     for key in keys:
         context.runner.end(key, end)
     context.pair.poll()
 
 
-@when("a job of a waiting caller is {fate} there, and what is told of it is held up")
+@when("a job of a waiting caller is {fate} there, and the messages about it are delayed")
 def told_late(context, fate):
     pair = context.pair
     pair.submit()
@@ -248,8 +248,8 @@
             context.runner.running = ()
         else:
             end_all(context, keys, RunEnd(fate.removeprefix("ended as ")))
-    context.held_up = [one for one in pair.drain_sent() if isinstance(one, orders.RunEvents)]
-    assert context.held_up
+    context.delayed = [one for one in pair.drain_sent() if isinstance(one, orders.RunEvents)]
+    assert context.delayed
 
 
 @when("the caller leaves, and submits it again after its pause")
@@ -262,15 +262,13 @@
     assert len(pair.start_all()) == TASKS
 
 
-@when("what was held up arrives")
-def held_up_arrives(context):
-    context.pair.deliver(context.held_up)
+@when("the delayed messages arrive")
+def delayed_arrive(context):
+    context.pair.deliver(context.delayed)
     context.ordered = context.pair.deliver_to_agent()
 
 
-@when(
-    'the runner rejects a start, and a new life of the agent finds an end under its name as "{end}"'
-)
+@when('the runner rejects a start, and a restarted agent finds an end under its name as "{end}"')
 def rejected_and_found(context, end):
     pair = context.pair
     context.tasks = pair.dispatch.jobs[JOB].tasks
@@ -285,7 +283,7 @@
     pair.deliver([orders.Holdings("i-1", (), rows)])
 
 
-@when("an agent whose present life began {when} the order tells of an end that it has found")
+@when("an agent whose incarnation began {when} the order reports an end that it has found")
 def found_end(context, when):
     pair = context.pair
     if when == "after":
