--- a/src/gapdrum/entry/lease.py
+++ b/src/gapdrum/entry/lease.py
@@ -28,7 +28,7 @@
 from gapdrum.timers import MS_PER_S, Timers
 
 RENEW_INTERVAL_MS = 1_000
-# Delay after a failed call of the store; shorter, as jobs wait for the lease.
+# Delay after a failed call of the store, shorter as jobs wait for the store.
 RETRY_INTERVAL_MS = 250
 # A lease ends this long after its last answered renewal was sent. Most outages of the store are
 # not longer, and the jobs of a lost entry wait this long for a new owner.
--- a/src/gapdrum/entry/queue_demand.py
+++ b/src/gapdrum/entry/queue_demand.py
@@ -7,8 +7,8 @@
 
 # Agents that restart know all demand after this time; they drop it after three missed messages.
 QUEUE_DEMAND_INTERVAL_MS = 500
-# While more room is free none needs to be reserved, and nothing is sent unless operators have set
-# shares.
+# While a larger share of the room is free, none is reserved for queues, and nothing is sent unless
+# operators have set shares.
 SCARCE_PERMILLE = 350
 
 
--- a/src/gapdrum/entry/store_access.py
+++ b/src/gapdrum/entry/store_access.py
@@ -11,7 +11,7 @@
 
 T = TypeVar("T")
 
-# A slow store answers within 0.3 s; one that takes longer than this counts as unavailable.
+# A slow store answers in 0.3 s; one that exceeds these limits counts as unavailable.
 CALL_TIMEOUT_MS = 1_000
 UNRESPONSIVE_AFTER_MS = 500
 FAILURES_UNTIL_DOWN = 2
