--- a/src/gapdrum/agent/runner_controller.py
+++ b/src/gapdrum/agent/runner_controller.py
@@ -1,4 +1,4 @@
-"""Looks at one incarnation of a runner: renews its lease, and notes what runs and ends there."""
+"""Polls one incarnation of a runner, renews its lease, and records its runs and their ends."""
 
 import asyncio
 from collections.abc import Callable
@@ -33,21 +33,22 @@
     TimedOutError,
 )
 
-FIRST_LOOK_TIMEOUT_MS = 300
-UNHEARD = "unheard"  # why a runner can't be reached of which no look has failed just now
-CUT_SHORT = (RunEnd.STOPPED.value, RunEnd.LEASE_LAPSED.value)
-# Storing an end takes about 10 ms; looking again before that shows the same.
+FIRST_POLL_TIMEOUT_MS = 300
+# The reported reason if a runner is unresponsive and no poll has failed just now.
+REASON_UNHEARD = "unheard"
+INTERRUPTED_ENDS = (RunEnd.STOPPED.value, RunEnd.LEASE_LAPSED.value)
+# An entry stores an end within about 10 ms; an earlier poll returns the same ends.
 UNSTORED_PAUSE_MS = 10
 
-Report = Callable[["RunnerController", list[tuple[Run, orders.RunEvent]]], None]
-Looked = Callable[["RunnerController"], None]
+ReportEvents = Callable[["RunnerController", list[tuple[Run, orders.RunEvent]]], None]
+FirstPollCallback = Callable[["RunnerController"], None]
 
 
 class RunnerController:
     """The agent's side of one incarnation of a runner.
 
-    ``report`` is called with what happened to runs, and after any change of room;
-    ``on_first_poll`` once, when it is known what the runner holds.
+    ``report`` is called with the events of runs, and without events after a change of free room.
+    ``on_first_poll`` is called once, after the first poll has listed the runs at the runner.
     """
 
     def __init__(
@@ -58,8 +59,8 @@
         run_lease_ms: int,
         timers: Timers,
         log: EventLog,
-        report: Report,
-        on_first_poll: Looked,
+        report: ReportEvents,
+        on_first_poll: FirstPollCallback,
         shares: RoomShares | None = None,
     ) -> None:
         self.ledger = RunnerLedger(runner_id)
@@ -76,19 +77,19 @@
         )
         self.starts = RunLauncher(self._context)
         self._schedule = self._context.schedule
-        self._looks = RunnerPoller(self._context)
+        self._poller = RunnerPoller(self._context)
         self._timers = timers
         self._log = log
-        self._on_looked = on_first_poll
+        self._on_first_poll = on_first_poll
         self._sequence = 0
 
     @property
     def offers(self) -> RoomOffers:
-        """Return what freed room is kept for whom."""
+        """Return the offers of freed room to entries."""
         return self._context.offers
 
     def kept_cpu_milli(self) -> dict[str, int]:
-        """Return how much of the free room is kept from which queues."""
+        """Return how much of the free room each queue may not use, as it is reserved for others."""
         return self._context.kept_cpu_milli(self._timers.now_ms())
 
     def free_for(self, owner: str) -> Resources:
@@ -100,10 +101,10 @@
         """Return the identity of this incarnation."""
         return self.ledger.runner_id
 
-    # Looking.
+    # Polling.
 
     async def keep(self) -> None:
-        """Look and renew until this incarnation is gone."""
+        """Poll the runner and renew its lease until this incarnation is gone."""
         backoff = Backoff(RETRY_MIN_MS, RETRY_MAX_MS)
         while not self.ledger.gone:
             try:
@@ -112,84 +113,84 @@
             except RunnerReplacedError:
                 self.set_gone("replaced")
             except RunnerRejectedError as error:
-                self._take_rejection(error)
+                self._handle_rejection(error)
                 await backoff.pause()
             except (NotSentError, NoReplyError) as error:
                 if self.ledger.leaving and isinstance(error, RefusedConnectionError):
                     self.set_gone("deregistered")
                     continue
-                self._judge_reachable(error.code)
+                self._check_unresponsive(error.code)
                 self._check_lapse()
-                if self._must_pause(error):
+                if self._should_pause(error):
                     await backoff.pause()
-        self._looks.close()
+        self._poller.close()
         self._context.calls.close()
 
-    def _must_pause(self, error: GapdrumError) -> bool:
-        """Tell whether to wait before the next look, so that no runner is flooded with calls.
+    def _should_pause(self, error: GapdrumError) -> bool:
+        """Return whether to pause before the next poll, so that no runner is flooded with calls.
 
-        An answer that did not come in time has taken its time already.
+        No pause is needed after a timed-out call to a reachable runner, as the call has waited.
         """
         if self._schedule.has_pending_poll:
             return False
         return not self.ledger.reachable or not isinstance(error, TimedOutError)
 
     async def _step(self) -> bool:
-        """Do what is due, and look; return whether a look was taken."""
+        """Stop the runs that are due, and poll; return whether the poll brought a snapshot."""
         if not self._context.fence:
-            await self._learn_clock()
+            await self._initialize_fence()
             return True
         now_ms = self._timers.now_ms()
-        self._check_rest(now_ms)
+        self._check_ejection(now_ms)
         self.starts.stop_overdue_runs(now_ms)
-        poll = await self._looks.next(self._wait_ms(now_ms))
-        if poll is None:
-            self._judge_reachable(UNHEARD)
+        snapshot = await self._poller.next(self._wait_ms(now_ms))
+        if snapshot is None:
+            self._check_unresponsive(REASON_UNHEARD)
             return False
         first = not self.ledger.polled
-        events = self._apply_snapshot(poll)
+        events = self._apply_snapshot(snapshot)
         if first:
-            self._note_first(poll)
+            self._complete_first_poll(snapshot)
         if events:
             self._context.report(events)
-        elif poll.ended:
-            # Ends that are not stored yet are shown at once, again and again.
+        elif snapshot.ended:
+            # While an end is not acknowledged, the runner answers polls at once with that end.
             await asyncio.sleep(UNSTORED_PAUSE_MS / MS_PER_S)
         return True
 
     def _wait_ms(self, now_ms: int) -> int:
-        """Return how long a look may wait for an end: not beyond the next stop that is due.
+        """Return how long a poll may wait for an end: at most until the next stop is due.
 
-        A stop that waited for the end of a look took up to 200 ms of the time that is left
-        before the caller submits its job again.
+        A stop that waits for a poll to return is up to 200 ms late, and must take effect before
+        the caller submits its job again.
         """
         if not self.ledger.polled:
             return 0
         return max(0, min(POLL_WAIT_MS, self.starts.next_stop_ms(now_ms) - now_ms))
 
-    def _apply_snapshot(self, poll: RunnerSnapshot) -> list[tuple[Run, orders.RunEvent]]:
-        """Bring the ledger up to a look; return what happened to runs."""
+    def _apply_snapshot(self, snapshot: RunnerSnapshot) -> list[tuple[Run, orders.RunEvent]]:
+        """Apply a snapshot to the ledger; return the events of runs."""
         now_ms = self._timers.now_ms()
         ledger = self.ledger
-        was_resting = bool(ledger.health.ejected_until_ms)
-        ledger.update_clock(poll.clock_ms, self._timers.awake_ms())
-        self._note_reachable()
-        events = ledger.apply_snapshot(poll, now_ms)
-        self._note_cut_short(events, now_ms)
-        if ledger.awaits_lapse() and poll.clock_ms > self._context.latest_lease_end_ms:
+        was_ejected = bool(ledger.health.ejected_until_ms)
+        ledger.update_clock(snapshot.clock_ms, self._timers.awake_ms())
+        self._mark_reachable()
+        events = ledger.apply_snapshot(snapshot, now_ms)
+        self._log_interrupted(events, now_ms)
+        if ledger.awaits_lapse() and snapshot.clock_ms > self._context.latest_lease_end_ms:
             ledger.record_lapse()
-            self._log.write("lease_let_lapse", runner=self.runner_id, clock_ms=poll.clock_ms)
-        if ledger.health.ejected_until_ms and not was_resting:
+            self._log.write("lease_let_lapse", runner=self.runner_id, clock_ms=snapshot.clock_ms)
+        if ledger.health.ejected_until_ms and not was_ejected:
             self._log.write("runner_suspect", runner=self.runner_id, rest_ms=EJECTION_MS)
         return events
 
-    def _note_cut_short(self, events: list[tuple[Run, orders.RunEvent]], now_ms: int) -> None:
-        """Write how each run ended that was stopped, or whose lease has lapsed.
+    def _log_interrupted(self, events: list[tuple[Run, orders.RunEvent]], now_ms: int) -> None:
+        """Log the end of each run that was stopped, or whose lease has lapsed.
 
-        Its owner may have let go of the job, so nobody else tells when it was really over.
+        The owner may have dropped the job, so that no other log line shows when the run ended.
         """
         for run, event in events:
-            if event.kind == orders.ENDED and event.detail in CUT_SHORT:
+            if event.kind == orders.ENDED and event.detail in INTERRUPTED_ENDS:
                 self._log.write(
                     "run_cut_short",
                     request=run.key.task.job_id,
@@ -201,32 +202,32 @@
                     stop_ms=now_ms - run.stopping_ms if run.stopping else None,
                 )
 
-    def _note_first(self, poll: RunnerSnapshot) -> None:
+    def _complete_first_poll(self, snapshot: RunnerSnapshot) -> None:
         self._log.write(
             "runner_looked",
             runner=self.runner_id,
             fence=self._context.fence,
-            running=len(poll.running),
-            ended=len(poll.ended),
+            running=len(snapshot.running),
+            ended=len(snapshot.ended),
         )
-        self._on_looked(self)
+        self._on_first_poll(self)
 
-    def _check_rest(self, now_ms: int) -> None:
-        """Tell the entries when a suspect runner may be tried again."""
-        was_resting = bool(self.ledger.health.ejected_until_ms)
-        if was_resting and not self.ledger.health.is_ejected(now_ms):
+    def _check_ejection(self, now_ms: int) -> None:
+        """Report to the entries that the ejection of a runner is over and it is half-open."""
+        was_ejected = bool(self.ledger.health.ejected_until_ms)
+        if was_ejected and not self.ledger.health.is_ejected(now_ms):
             self._log.write("runner_on_trial", runner=self.runner_id)
             self._context.report([])
 
-    async def _learn_clock(self) -> None:
-        """Take a fencing token above those of earlier lives of this agent: the runner's clock.
+    async def _initialize_fence(self) -> None:
+        """Take the runner's clock as a fencing token above those of earlier incarnations.
 
-        It is steady and outlives the agent, so it needs no store. A look with token 0 changes
-        nothing and is answered with the clock, also where it is fenced off.
+        The clock is steady and outlives the agent, so the token needs no store. A poll with token
+        0 changes nothing at the runner, which states its clock even if it rejects the token.
         """
         try:
-            poll = await self._context.calls.poll(0, 0, 0, 0, FIRST_LOOK_TIMEOUT_MS)
-            clock_ms = poll.clock_ms
+            snapshot = await self._context.calls.poll(0, 0, 0, 0, FIRST_POLL_TIMEOUT_MS)
+            clock_ms = snapshot.clock_ms
         except RunnerRejectedError as error:
             if error.clock_ms is None:
                 raise
@@ -234,20 +235,20 @@
         self.ledger.update_clock(clock_ms, self._timers.awake_ms())
         self._schedule.record_contact(self._timers.now_ms())
         self._context.fence = max(1, clock_ms)
-        # What an earlier life of this agent may have asked for.
+        # An earlier incarnation of this agent may have asked for a lease up to this time.
         self._context.latest_lease_end_ms = clock_ms + self._context.longest_lease_ms
 
-    def _take_rejection(self, error: RunnerRejectedError) -> None:
+    def _handle_rejection(self, error: RunnerRejectedError) -> None:
         self._log.write(
             "look_rejected", runner=self.runner_id, status=error.status, reason=error.reason
         )
         if error.reason == REASON_FENCED and error.clock_ms is not None:
             self._context.fence = max(self._context.fence, error.clock_ms)
 
-    def _judge_reachable(self, reason: str) -> None:
-        """Tell entries that there is no room at a silent runner until it answers a look again.
+    def _check_unresponsive(self, reason: str) -> None:
+        """Report no room at an unresponsive runner until it answers a poll again.
 
-        One lost answer beside others that come takes no room away.
+        A single lost answer does not make a runner unresponsive while it answers other calls.
         """
         if self.ledger.reachable and self._schedule.is_unresponsive(self._timers.now_ms()):
             self.ledger.reachable = False
@@ -255,7 +256,7 @@
             self._log.write("runner_unreachable", runner=self.runner_id, reason=reason)
             self._context.report([])
 
-    def _note_reachable(self) -> None:
+    def _mark_reachable(self) -> None:
         if not self.ledger.reachable:
             self.ledger.reachable = True
             self._schedule.unreachable = False
@@ -263,21 +264,21 @@
             self._context.report([])
 
     def _check_lapse(self) -> None:
-        """Take a runner that can't be reached as gone once everything there has lapsed."""
+        """Report the runs of an unreachable runner as lost once their lease has lapsed there."""
         if self.ledger.runs and self._timers.awake_ms() > self._context.bound.ends_ms:
-            settled = [run for run in self.ledger.runs.values() if not run.calling]
-            if settled:
-                self._log.write("runs_lapsed_unseen", runner=self.runner_id, runs=len(settled))
-            self._context.report(self.ledger.lose(settled, orders.LEASE_LAPSED))
+            lapsed = [run for run in self.ledger.runs.values() if not run.calling]
+            if lapsed:
+                self._log.write("runs_lapsed_unseen", runner=self.runner_id, runs=len(lapsed))
+            self._context.report(self.ledger.lose(lapsed, orders.LEASE_LAPSED))
 
     def set_gone(self, reason: str) -> None:
-        """Note that this incarnation is gone, and everything that ran there with it."""
+        """Record that this incarnation is gone, and report its runs as lost."""
         self._context.set_gone(reason)
 
     def set_leaving(self) -> None:
-        """Note that the runner has said that it ends; it is gone once nobody listens there.
+        """Record that the runner has deregistered; it is gone once it refuses connections.
 
-        Until then it may be at work: what was started elsewhere now would run twice.
+        Its runs may go on until then, and a task that was started elsewhere now would run twice.
         """
         if not self.ledger.leaving:
             self.ledger.leaving = self.ledger.draining = True
@@ -285,7 +286,7 @@
             self._context.report([])
 
     def apply_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Take the runner's report about itself, unless a newer one came before."""
+        """Apply a heartbeat of the runner, unless a newer one was applied before."""
         if heartbeat.sequence < self._sequence:
             self._log.write(
                 "heartbeat_outdated", runner=self.runner_id, sequence=heartbeat.sequence
@@ -309,7 +310,7 @@
             self._context.report([])
 
     def apply_listing(self, listed: ListedRunner) -> None:
-        """Take what the platform's list says, unless the runner has told of itself meanwhile."""
+        """Apply the platform's listing of the runner, unless a heartbeat came before it."""
         ledger = self.ledger
         if ledger.capacity is not None or ledger.gone:
             return
@@ -320,17 +321,17 @@
         self._context.report([])
 
     def set_zone_closed(self, closed: bool) -> None:
-        """Note whether anything may be started in the runner's zone; what runs there goes on."""
+        """Set whether the runner's zone is closed to new runs; present runs go on."""
         if self.ledger.zone_closed != closed:
             self.ledger.zone_closed = closed
             self._context.report([])
 
     async def renew_before_shutdown(self) -> None:
-        """Renew once more before the agent ends, so that its successor finds the runs alive."""
+        """Renew the lease before the agent ends, so that its successor finds the runs alive."""
         if self.ledger.gone or not self._context.fence or not self.ledger.polled:
             return
         left_ms = self._context.renewal_ms(self._timers.now_ms())
         try:
-            await self._looks.poll(left_ms, 0)
+            await self._poller.poll(left_ms, 0)
         except (NoReplyError, NotSentError, RunnerRejectedError, RunnerReplacedError) as error:
             self._log.write("last_renewal_failed", runner=self.runner_id, code=error.code)
