--- a/src/gapdrum/agent/lease_bound.py
+++ b/src/gapdrum/agent/lease_bound.py
@@ -1,34 +1,34 @@
-"""Until when a runner's lease may run, as far as the calls to it allow."""
+"""The upper bound of a runner's lease, by the calls that renew it."""
 
 
 class LeaseBound:
-    """The latest end of a lease, counting calls under way and forgetting those never sent.
+    """The latest possible end of a lease: pending calls count, calls that were never sent do not.
 
     ::
 
-        call = bound.propose(ends_ms)
+        call = bound.begin_renewal(ends_ms)
         ...
-        bound.settle(call, sent=False)   # nobody listened: the lease was not renewed
+        bound.end_renewal(call, sent=False)   # connection refused: the lease was not renewed
     """
 
     def __init__(self) -> None:
-        self._sent_ms = 0
-        self._under_way: dict[int, int] = {}
-        self._calls = 0
+        self._sent_ends_ms = 0
+        self._pending: dict[int, int] = {}
+        self._last_call = 0
 
     @property
     def ends_ms(self) -> int:
-        """Return when the lease has ended at the latest, on our clock."""
-        return max([self._sent_ms, *self._under_way.values()])
+        """Return when the lease has ended at the latest, on the agent's clock."""
+        return max([self._sent_ends_ms, *self._pending.values()])
 
     def begin_renewal(self, ends_ms: int) -> int:
-        """Note a call that renews until a time; return its number."""
-        self._calls += 1
-        self._under_way[self._calls] = ends_ms
-        return self._calls
+        """Record a pending call that renews the lease until ``ends_ms``; return its number."""
+        self._last_call += 1
+        self._pending[self._last_call] = ends_ms
+        return self._last_call
 
     def end_renewal(self, call: int, sent: bool) -> None:
-        """Note whether a call was sent, answered or not."""
-        ends_ms = self._under_way.pop(call)
+        """Record whether a pending call was sent, answered or not."""
+        ends_ms = self._pending.pop(call)
         if sent:
-            self._sent_ms = max(self._sent_ms, ends_ms)
+            self._sent_ends_ms = max(self._sent_ends_ms, ends_ms)
--- a/src/gapdrum/agent/run_launcher.py
+++ b/src/gapdrum/agent/run_launcher.py
@@ -13,17 +13,17 @@
 START_TIMEOUT_MS = 120
 STOP_TIMEOUT_MS = 150
 STOP_REPEAT_MS = STOP_TIMEOUT_MS
-# An unanswered start holds its room until then, as it may take effect so late.
+# An unanswered start may take effect for so long, and occupies its room until then.
 START_EXPIRY_MS = 700
-# Pauses before a call to the runner is tried again: a lost answer costs little, and a runner
-# that resets every connection is not flooded with new ones, which are dear there.
+# Backoff between calls to the runner: a retry after a lost answer is cheap, but a runner that
+# resets every connection must not be flooded with new ones.
 RETRY_MIN_MS = 10
 RETRY_MAX_MS = 160
-IDLE_MS = 60_000  # with no run there is nothing to stop
+NO_STOP_DUE_MS = 60_000  # the next stop is at least this far away while there is no run
 
 
 class RunLauncher:
-    """Calls the runner for each start until it is settled, and for each stop until it ends."""
+    """Calls the runner until each start has an outcome, and until each stopped run has ended."""
 
     def __init__(self, context: RunnerContext) -> None:
         self._context = context
@@ -32,7 +32,7 @@
         self._stops_sent: dict[RunKey, int] = {}
 
     def order(self, owner: str, order: orders.StartOrder, now_ms: int) -> list[orders.RunEvent]:
-        """Begin the starts that may begin; return the events of those that may not."""
+        """Start the runs of an order that are admissible; return the events of the refused ones."""
         refused = []
         for row in order.runs:
             reason = self._refuse(owner, order, row, now_ms)
@@ -70,7 +70,7 @@
     def _begin(
         self, owner: str, order: orders.StartOrder, row: orders.OrderedRun, now_ms: int
     ) -> None:
-        # The start also renews the lease of all, so it is bound by the same limits.
+        # A start also renews the lease that all runs there share, so the same limits apply to it.
         limit_ms = self._context.grants.lease_deadline_ms(owner, order.durable) - now_ms
         left_ms = max(1, min(START_EXPIRY_MS, self._context.allowed_lease_ms(now_ms), limit_ms))
         expires_ms = self._context.extend_lease(left_ms)
@@ -94,31 +94,31 @@
         self._call_start(run, order.spec, lease_ends_ms)
 
     def _call_start(self, run: Run, spec: str, lease_ends_ms: int) -> None:
-        """Begin to call the runner; a replay in virtual time puts its own runner here."""
+        """Call the runner in the background; replays in virtual time override this."""
         self._background.spawn(self._start(run, spec, lease_ends_ms))
 
     async def _start(self, run: Run, spec: str, lease_ends_ms: int) -> None:
-        """Call until the start is answered; the same start again is the same run.
+        """Call the runner until it answers the start; a repeated start is idempotent.
 
-        Once it is to be stopped, or in a zone that has been drained meanwhile, it is not sent
-        again: the call that was left unanswered may never have come.
+        The start is not repeated once the run is to be stopped or its zone is drained, because
+        the runner may not have received the unanswered call.
         """
-        settled = None
+        outcome = None
         unanswered = False
         sent = False
         backoff = Backoff(RETRY_MIN_MS, RETRY_MAX_MS)
         call = self._context.bound.begin_renewal(lease_ends_ms)
-        while settled is None and self._may_still_start(run):
+        while outcome is None and self._may_still_start(run):
             try:
                 clock_ms = await self._context.calls.start(
                     run.key, spec, run.start_expires_ms, self._context.fence, START_TIMEOUT_MS
                 )
                 self.ledger.update_clock(clock_ms, self._context.timers.awake_ms())
-                self._note_heard()
-                settled = orders.STARTED
+                self._record_contact()
+                outcome = orders.STARTED
                 sent = True
             except NoReplyError as error:
-                self._note_unanswered(error)
+                self._record_unanswered(error)
                 unanswered = True
                 sent = True
                 await backoff.pause()
@@ -130,18 +130,18 @@
                 self._context.set_gone("replaced")
             except RunnerRejectedError as error:
                 sent = True
-                settled = self._judge_rejection(run, error, unanswered)
+                outcome = self._outcome_of_rejection(run, error, unanswered)
         run.calling = False
         self._context.bound.end_renewal(call, sent)
-        if settled is None and not unanswered:
-            settled = orders.NOT_STARTED
-        self._settle_start(run, settled)
+        if outcome is None and not unanswered:
+            outcome = orders.NOT_STARTED
+        self._settle_start(run, outcome)
 
-    def _note_heard(self) -> None:
+    def _record_contact(self) -> None:
         self._context.schedule.record_contact(self._context.timers.now_ms())
 
-    def _note_unanswered(self, error: NoReplyError) -> None:
-        """Let the runner be looked at for what the lost answer would have told."""
+    def _record_unanswered(self, error: NoReplyError) -> None:
+        """Have a timed-out call followed by a prompt poll, which shows whether it took effect."""
         if isinstance(error, TimedOutError):
             self._context.schedule.record_lost_answer(self._context.timers.now_ms())
 
@@ -149,17 +149,18 @@
         if self.ledger.gone or self.ledger.zone_closed or run.key not in self.ledger.runs:
             return False
         if run.phase != orders.HELD_STARTING:
-            return False  # a look has shown it at work
+            return False  # a poll has shown the run at work
         if run.stopping:
-            return False  # where the stop was lost, the repeated start would run
+            return False  # if the stop was lost, a repeated start would run
         return self.ledger.clock_floor(self._context.timers.awake_ms()) < run.start_expires_ms
 
-    def _judge_rejection(
+    def _outcome_of_rejection(
         self, run: Run, error: RunnerRejectedError, unanswered: bool
     ) -> str | None:
-        """Return whether a rejected start is settled; an earlier call of it may have been done.
+        """Return the outcome of a rejected start, "" if only a later poll can show it.
 
-        Then a later look tells. A start that was rejected at its first call has never begun.
+        A start that is rejected at its first call has never begun; after an unanswered call, the
+        run may be at work.
         """
         self._context.log.write(
             "start_rejected",
@@ -171,35 +172,36 @@
         )
         return "" if unanswered else orders.NOT_STARTED
 
-    def _settle_start(self, run: Run, settled: str | None) -> None:
+    def _settle_start(self, run: Run, outcome: str | None) -> None:
         if self.ledger.runs.get(run.key) is not run or self.ledger.gone:
             return
-        if settled == orders.NOT_STARTED and run.phase == orders.HELD_STARTING:
+        if outcome == orders.NOT_STARTED and run.phase == orders.HELD_STARTING:
             self.ledger.drop(run.key)
             event = not_started(run.key, run.epoch, orders.RUNNER_REJECTED, run.submission)
             self._context.report([(run, event)])
-        elif settled == orders.STARTED and run.phase == orders.HELD_STARTING:
+        elif outcome == orders.STARTED and run.phase == orders.HELD_STARTING:
             self.ledger.mark_started(run, self._context.timers.now_ms())
             self._context.report([(run, started(run))])
 
     # Stopping.
 
     def stop(self, key: RunKey) -> None:
-        """Stop a run; its end is listed like any other."""
+        """Stop a run; a later poll lists its end like any other."""
         run = self.ledger.runs.get(key)
         if run is not None:
             now_ms = self._context.timers.now_ms()
             if not run.stopping:
                 run.stopping_ms = now_ms
                 if not run.durable:
-                    # Its caller submits it again, whether the stop takes effect or not.
+                    # Its caller submits the job again, whether the stop takes effect or not.
                     self._context.grants.require_claim(run)
             self._send_stop(key, now_ms)
 
     def next_stop_ms(self, now_ms: int) -> int:
-        """Return when the next stop is due, or to be repeated, if no owner is heard before."""
+        """Return when a stop is next due, or to be repeated, if no owner echoes before."""
         return min(
-            (self._stop_due_ms(run) for run in self.ledger.runs.values()), default=now_ms + IDLE_MS
+            (self._stop_due_ms(run) for run in self.ledger.runs.values()),
+            default=now_ms + NO_STOP_DUE_MS,
         )
 
     def _stop_due_ms(self, run: Run) -> int:
@@ -208,7 +210,7 @@
         return self._context.grants.stop_due_ms(run)
 
     def stop_overdue_runs(self, now_ms: int) -> None:
-        """Stop what runs for owners that are silent, and repeat stops without effect."""
+        """Stop the runs whose grant has ended, and repeat stops that had no effect."""
         for run in list(self.ledger.runs.values()):
             if not run.stopping and now_ms >= self._stop_due_ms(run):
                 run.stopping_ms = now_ms
@@ -232,12 +234,12 @@
     async def _stop(self, key: RunKey) -> None:
         try:
             await self._context.calls.stop(key, self._context.fence, STOP_TIMEOUT_MS)
-            self._note_heard()
+            self._record_contact()
         except RunnerReplacedError:
             self._context.set_gone("replaced")
         except (NoReplyError, NotSentError, RunnerRejectedError) as error:
             if isinstance(error, NoReplyError):
-                self._note_unanswered(error)
+                self._record_unanswered(error)
             self._context.log.write(
                 "stop_unanswered", task=key.task.text, attempt=key.attempt, code=error.code
             )
--- a/src/gapdrum/agent/runner_context.py
+++ b/src/gapdrum/agent/runner_context.py
@@ -1,4 +1,4 @@
-"""What the parts that deal with one incarnation of a runner share."""
+"""State that the components for one incarnation of a runner share."""
 
 from collections.abc import Callable
 
@@ -18,15 +18,15 @@
 
 # A lease ends at the runner at most this much later than asked: its clock may be 2% slow.
 EXPIRY_MARGIN_MS = 150
-# A start has the lease that is there, and needs so much of it: the call, and one repetition of it.
-LEAST_START_MS = 250
+# Nothing is started if the lease must end sooner: a start and one retry take this long.
+MIN_START_LEASE_MS = 250
 
 
 @attrs.define(eq=False)
 class RunnerContext:
     """One incarnation of a runner: the ledger, the calls, and the lease of what runs there.
 
-    ``report`` is called with what happened to runs, and after any change of room.
+    ``report`` is called with the events of runs, and without events after a change of free room.
     ``latest_lease_end_ms`` is the latest end of a lease that was asked for, on the runner's clock.
     """
 
@@ -56,19 +56,19 @@
         return self.ledger.free - self.offers.kept_from(owner, now_ms)
 
     def may_start(self, now_ms: int) -> bool:
-        """Tell whether a start could still take effect before the lease ends.
+        """Return whether a start can still take effect before the lease ends.
 
-        The lease is one for all, and not renewed beyond the hold of a run whose stop stays
-        unanswered: what is started in the last moments would be rejected as late.
+        All runs at a runner share one lease, which is not renewed beyond the limit of a run whose
+        stop is unanswered. The runner rejects a start shortly before that limit as late.
         """
         return all(
-            self.grants.lease_limit_ms(run) - now_ms >= LEAST_START_MS
+            self.grants.lease_limit_ms(run) - now_ms >= MIN_START_LEASE_MS
             for run in self.ledger.runs.values()
             if run.stopping
         )
 
     def kept_cpu_milli(self, now_ms: int) -> dict[str, int]:
-        """Return how much of the free room is kept from which queues."""
+        """Return how much of the free room each queue may not use, as it is reserved for others."""
         ledger = self.ledger
         if ledger.capacity is None:
             return {}
@@ -76,7 +76,7 @@
         return self.shares.kept(ledger.upstream, capacity, ledger.used_cpu_milli, now_ms)
 
     def is_kept_from(self, queue: str, room: Resources, free: Resources, now_ms: int) -> bool:
-        """Tell whether a task would take room that is kept from its queue."""
+        """Return whether a task would use room that is reserved for other queues."""
         ledger = self.ledger
         kept = self.shares.kept_from(
             ledger.upstream, queue, ledger.capacity.cpu_milli, ledger.used_cpu_milli, now_ms
@@ -84,11 +84,11 @@
         return free.cpu_milli - room.cpu_milli < kept
 
     def renewal_ms(self, now_ms: int) -> int:
-        """Return how long what runs may go on: a full lease, less if an owner is silent.
+        """Return the duration to renew the lease by: a full lease, less if an owner is silent.
 
-        0, or less, while the lease must lapse, while it is not known whose all runs are, once
-        the runner ends, and while there is nothing to keep: what starts next would have the lease
-        that is there.
+        It is 0 or less, for no renewal, while the lease must lapse, before the first poll, once
+        the runner has deregistered, and while the runner is idle, because the next run would get
+        whatever lease is present.
         """
         ledger = self.ledger
         if ledger.awaits_lapse() or ledger.leaving or not ledger.polled:
@@ -98,20 +98,20 @@
         return self.allowed_lease_ms(now_ms)
 
     def allowed_lease_ms(self, now_ms: int) -> int:
-        """Return the longest lease that the words of all owners of what runs allow."""
+        """Return the longest lease that the last echoes of all runs' owners allow."""
         runs = self.ledger.runs.values()
         limits = [self.grants.lease_limit_ms(run) - now_ms for run in runs]
         return min([self.longest_lease_ms, *limits])
 
     @property
     def longest_lease_ms(self) -> int:
-        """Return the longest lease that is asked for."""
+        """Return the longest lease that the agent asks for."""
         return self.grants.bounds.lease_ms(self.run_lease_ms)
 
     def lease_exceeds_grant(self, owner: str, durable: bool, now_ms: int) -> bool:
-        """Tell whether the lease that is there may last for longer than an owner's word allows.
+        """Return whether the present lease may last longer than an owner's last echo allows.
 
-        A run that started now could not be ended in time but by a stop, which may be lost.
+        Only a stop, which may be lost, could then end a new run in time.
         """
         allowed_ms = self.grants.lease_deadline_ms(owner, durable) - now_ms
         return (
@@ -119,7 +119,7 @@
         )
 
     def extend_lease(self, left_ms: int) -> int:
-        """Return until when a lease runs on the runner's clock, 0 for no renewal."""
+        """Return the end on the runner's clock of a lease to ask for, 0 for no renewal."""
         if left_ms <= 0:
             return 0
         until_ms = self.ledger.clock_floor(self.timers.awake_ms()) + left_ms
@@ -127,7 +127,7 @@
         return until_ms
 
     def set_gone(self, reason: str) -> None:
-        """Note that this incarnation is gone, and everything that ran there with it."""
+        """Record that this incarnation is gone, and report its runs as lost."""
         if self.ledger.gone:
             return
         self.log.write("runner_gone", runner=self.runner_id, reason=reason)
