--- a/src/gapdrum/agent/entry_orders.py
+++ b/src/gapdrum/agent/entry_orders.py
@@ -1,4 +1,4 @@
-"""What entries tell the agent: starts, stops, claims, and what may be let go."""
+"""Handles the messages of entries: starts, stops, claims, adoptions and acknowledged ends."""
 
 from collections import OrderedDict
 from collections.abc import Callable, Mapping
@@ -17,12 +17,12 @@
 from gapdrum.timers import Timers
 from gapdrum.zone_watch import ZoneWatch
 
-# Epochs of jobs that are remembered: a job is over long before so many others were claimed.
-KEPT_EPOCHS = 50_000
+# Number of jobs whose epochs are remembered; a job is over long before so many others are claimed.
+MAX_REMEMBERED_EPOCHS = 50_000
 
 
 class EntryOrders:
-    """Carries out what entries order, as far as epoch, grant and room allow it."""
+    """Carries out the orders of entries, if epoch, grant and free room allow them."""
 
     def __init__(
         self,
@@ -35,9 +35,9 @@
         shares: RoomShares | None = None,
     ) -> None:
         self._links = links
-        self._keepers = controllers
+        self._controllers = controllers
         self._grants = grants
-        self._reports = notifier
+        self._notifier = notifier
         self._timers = timers
         self._log = log
         self.shares = shares or RoomShares()
@@ -45,49 +45,49 @@
         self._epochs: OrderedDict[str, int] = OrderedDict()
 
     def take(self, link: EntryLink, message: object) -> None:
-        """Carry out one message of an entry."""
+        """Handle one message of an entry."""
         handler = self._HANDLERS.get(type(message))
         if handler is None:
             self._log.write("message_unknown", kind=type(message).__name__)
             return
         handler(self, link, message)
 
-    def _take_echo(self, link: EntryLink, echo: orders.BeatEcho) -> None:
+    def _apply_echo(self, link: EntryLink, echo: orders.BeatEcho) -> None:
         self._grants.note(link.owner, echo.clock_ms, echo.lease_held)
         link.follows_table = echo.table_followed
 
-    def _take_demand(self, link: EntryLink, demand: orders.RoomDemand) -> None:
+    def _apply_demand(self, link: EntryLink, demand: orders.RoomDemand) -> None:
         if link.demand:
             link.short_ms = self._timers.now_ms()
         link.demand = {row.upstream: row for row in demand.upstreams}
-        for controller in self._keepers.values():
+        for controller in self._controllers.values():
             if controller.ledger.upstream not in link.demand:
                 controller.offers.decline(link.owner)
 
-    def _take_queue_demands(self, link: EntryLink, told: orders.QueueDemands) -> None:
-        self.shares.take(link.entry, told.queues, self._timers.now_ms())
+    def _apply_queue_demands(self, link: EntryLink, message: orders.QueueDemands) -> None:
+        self.shares.take(link.entry, message.queues, self._timers.now_ms())
 
-    def _take_zones(self, link: EntryLink, told: orders.ZoneDrainsTold) -> None:
-        self.zones.take_told(told, source=link.entry)
+    def _apply_zones(self, link: EntryLink, message: orders.ZoneDrainsTold) -> None:
+        self.zones.take_told(message, source=link.entry)
 
-    def _take_order(self, link: EntryLink, order: orders.StartOrder) -> None:
+    def _apply_order(self, link: EntryLink, order: orders.StartOrder) -> None:
         link.orders += len(order.runs)
         self._grants.note(link.owner, order.clock_ms, order.durable)
-        controller = self._keepers.get(order.runner_id)
+        controller = self._controllers.get(order.runner_id)
         if self._epochs.get(order.job_id, 0) > order.epoch:
             refused = self._refuse_all(order, orders.JOB_SUPERSEDED)
         elif controller is None:
             refused = self._refuse_all(order, orders.RUNNER_GONE)
         else:
             refused = controller.starts.order(link.owner, order, self._timers.now_ms())
-            self._reports.mark_room_changed(order.runner_id)
-            self._reports.reoffer_room(controller, link)
+            self._notifier.mark_room_changed(order.runner_id)
+            self._notifier.reoffer_room(controller, link)
         if refused:
             link.send(orders.RunEvents(order.runner_id, tuple(refused)))
             self._log_refusals(refused)
             link.short_ms = self._timers.now_ms()
             if controller is not None:
-                self._reports.resend_room(controller, link)
+                self._notifier.resend_room(controller, link)
 
     @staticmethod
     def _refuse_all(order: orders.StartOrder, reason: str) -> list[orders.RunEvent]:
@@ -106,34 +106,34 @@
                 reason=event.detail,
             )
 
-    def _take_stop(self, _link: EntryLink, message: orders.StopOrder) -> None:
-        controller = self._keepers.get(message.runner_id)
+    def _apply_stop(self, _link: EntryLink, message: orders.StopOrder) -> None:
+        controller = self._controllers.get(message.runner_id)
         if controller is None:
             return
         for row in message.runs:
             controller.starts.stop(RunKey(TaskName.parse(row.task), row.attempt))
 
-    def _take_stored(self, _link: EntryLink, message: orders.EndsStored) -> None:
-        controller = self._keepers.get(message.runner_id)
+    def _apply_stored_ends(self, _link: EntryLink, message: orders.EndsStored) -> None:
+        controller = self._controllers.get(message.runner_id)
         if controller is not None:
             controller.ledger.mark_ends_stored(message.numbers, message.superseded)
 
-    def _take_claims(self, link: EntryLink, message: orders.JobsClaimed) -> None:
-        """Refuse lower epochs of the jobs from now on, and tell what is held of them."""
+    def _apply_claims(self, link: EntryLink, message: orders.JobsClaimed) -> None:
+        """Refuse lower epochs of the jobs from now on, and send the runs that are held of them."""
         for row in message.jobs:
             if row.epoch > self._epochs.get(row.job_id, 0):
                 self._epochs[row.job_id] = row.epoch
-        while len(self._epochs) > KEPT_EPOCHS:
+        while len(self._epochs) > MAX_REMEMBERED_EPOCHS:
             self._epochs.popitem(last=False)
         names = frozenset(row.job_id for row in message.jobs)
         epochs = {row.job_id: row.epoch for row in message.jobs}
-        for controller in self._keepers.values():
-            self._tell_former_owners(controller, epochs, link.owner)
+        for controller in self._controllers.values():
+            self._notify_former_owners(controller, epochs, link.owner)
             if controller.ledger.polled:
                 held = controller.ledger.held_runs(names)
                 link.send(orders.Holdings(controller.runner_id, tuple(names), held))
 
-    def _tell_former_owners(
+    def _notify_former_owners(
         self, controller: RunnerController, epochs: dict[str, int], owner: str
     ) -> None:
         for run in controller.ledger.runs.values():
@@ -143,8 +143,8 @@
                 if former is not None:
                     former.send(orders.JobLost(job_id, epochs[job_id]))
 
-    def _take_adoption(self, link: EntryLink, message: orders.AdoptRuns) -> None:
-        controller = self._keepers.get(message.runner_id)
+    def _apply_adoption(self, link: EntryLink, message: orders.AdoptRuns) -> None:
+        controller = self._controllers.get(message.runner_id)
         if controller is None:
             return
         missed = []
@@ -161,15 +161,15 @@
                 missed.append(event)
         if missed:
             link.send(orders.RunEvents(message.runner_id, tuple(missed)))
-        self._reports.mark_room_changed(message.runner_id)
+        self._notifier.mark_room_changed(message.runner_id)
 
-    def _end_former_lives(self, link: EntryLink) -> None:
-        """Stop what runs for callers that waited at earlier names of an entry, unless claimed."""
+    def _stop_former_incarnations(self, link: EntryLink) -> None:
+        """Stop the non-durable runs of an entry's former incarnations that it has not claimed."""
         if not link.owner:
             return
         former = {
             run.owner
-            for controller in self._keepers.values()
+            for controller in self._controllers.values()
             for run in controller.ledger.runs.values()
             if run.owner.startswith(f"{link.entry}/") and run.owner != link.owner
         }
@@ -177,35 +177,35 @@
             self.stop_nondurable_runs(owner)
 
     def require_claims(self, link: EntryLink) -> None:
-        """Let runs of an entry that has joined anew count as its own once it has claimed them.
+        """Require an entry that has joined again to claim its runs before its echoes renew them.
 
-        A stop that was lost with the former stream would not end a run that the echoes on the new
-        one keep up. A process that has lost its lease joins under a new name and claims what
-        runs under its former one; a process that has begun anew claims nothing.
+        Otherwise echoes on the new stream would keep up a run whose stop was lost with the former
+        one. An entry process that has lost its lease joins under a new name and claims the runs of
+        its former one; a restarted process claims nothing.
         """
-        for controller in self._keepers.values():
+        for controller in self._controllers.values():
             for run in controller.ledger.runs.values():
                 if run.owner == link.owner:
                     self._grants.require_claim(run)
-        self._timers.call_after(RESTART_ALLOWANCE_MS, partial(self._end_former_lives, link))
+        self._timers.call_after(RESTART_ALLOWANCE_MS, partial(self._stop_former_incarnations, link))
 
     def rename_owner(self, former: str, owner: str) -> None:
-        """Let what runs for callers that wait go on for the same entry's new life.
+        """Pass the non-durable runs of an entry on to the same entry's new incarnation.
 
-        The former name's last word counts for the new one, which has echoed nothing yet: without
-        it all of that would be stopped at once.
+        The last echo under the former name counts for the new one: without it, all these runs
+        would be stopped before the first echo under the new name.
         """
         last_echo_ms = self._grants.last_echo_ms(former, durable=False)
         if last_echo_ms is not None:
             self._grants.note(owner, last_echo_ms, lease_held=False)
-        for controller in self._keepers.values():
+        for controller in self._controllers.values():
             for run in controller.ledger.runs.values():
                 if run.owner == former and not run.durable:
                     run.owner = owner
 
     def stop_nondurable_runs(self, owner: str) -> None:
-        """Stop what runs for callers that waited at a life of an entry that is gone."""
-        for controller in self._keepers.values():
+        """Stop the non-durable runs of an entry incarnation that is gone."""
+        for controller in self._controllers.values():
             for run in list(controller.ledger.runs.values()):
                 if run.owner == owner and not run.durable:
                     self._log.write(
@@ -218,13 +218,13 @@
                     controller.starts.stop(run.key)
 
     _HANDLERS: dict[type, Callable] = {
-        orders.BeatEcho: _take_echo,
-        orders.RoomDemand: _take_demand,
-        orders.QueueDemands: _take_queue_demands,
-        orders.ZoneDrainsTold: _take_zones,
-        orders.StartOrder: _take_order,
-        orders.StopOrder: _take_stop,
-        orders.EndsStored: _take_stored,
-        orders.JobsClaimed: _take_claims,
-        orders.AdoptRuns: _take_adoption,
+        orders.BeatEcho: _apply_echo,
+        orders.RoomDemand: _apply_demand,
+        orders.QueueDemands: _apply_queue_demands,
+        orders.ZoneDrainsTold: _apply_zones,
+        orders.StartOrder: _apply_order,
+        orders.StopOrder: _apply_stop,
+        orders.EndsStored: _apply_stored_ends,
+        orders.JobsClaimed: _apply_claims,
+        orders.AdoptRuns: _apply_adoption,
     }
--- a/src/gapdrum/agent/notifier.py
+++ b/src/gapdrum/agent/notifier.py
@@ -1,4 +1,4 @@
-"""What the agent tells entries: events of runs, room, and what the runners hold."""
+"""Sends events of runs, free room and the runs at each runner to the entries."""
 
 import random
 from collections.abc import Mapping
@@ -11,49 +11,50 @@
 from gapdrum.core.runner_ledger import Run
 from gapdrum.timers import Delayed, Timers
 
-SCARCE_INTERVAL_MS = 25  # room is told this often at most to entries that wait for it
-# Entries that have room enough choose well among runners by older figures. Replay of 35 entries
-# and 160 agents at 87% of the room: 8.8 messages a task, 10.5 if all are told each 25 ms.
+# Least time between reports of free room to entries that are short of room.
+SCARCE_INTERVAL_MS = 25
+# Entries with enough room place tasks well by older reports, and fewer reports save messages.
 RELAXED_INTERVAL_MS = 50
-# Ends that nobody has stored after this long are told again, to so many entries: one may be cut
-# off from the store. After a loss of power 160 agents may each hold ends of ten jobs.
-ORPHAN_AFTER_MS = 1_500
-ORPHAN_ENTRIES = 2
-# Room is taken as scarce for an entry for so long after work of it has waited, or an order of it
-# was refused: by older figures than 25 ms most of its orders would be refused.
+# Ends that no entry has stored after this time are sent again, to a few entries at a time: one
+# entry may be cut off from the store, and after a power loss each of 160 agents may hold the ends
+# of ten jobs.
+UNSTORED_AFTER_MS = 1_500
+UNSTORED_SEND_ENTRIES = 2
+# An entry counts as short of room for so long after its work has waited or its order was refused;
+# by reports older than 25 ms most of its orders would be refused.
 SCARCE_MS = 2_000
-NOBODY = ""  # no entry's owner: all that is kept for anybody is kept from it
-# What is kept from a queue is told while it leaves less than this share of a runner to the queue.
+NO_OWNER = ""  # the name of no owner, so that every offer counts as made to somebody else
+# Room reserved for other queues is sent while it leaves a queue less than this share of a runner.
 AMPLE_SHARE = 0.25
 FREES_ROOM = (orders.ENDED, orders.NOT_STARTED, orders.LOST)
 
 
 class EntryNotifier:
-    """Tells owners of their runs at once, and all entries of the room soon."""
+    """Sends events of runs to their owners at once, and changes of room to all entries soon."""
 
     def __init__(
         self,
         links: EntryLinks,
         controllers: Mapping[str, RunnerController],
         timers: Timers,
-        notes: ReservationLog | None = None,
+        reservations: ReservationLog | None = None,
     ) -> None:
         self._links = links
-        self._keepers = controllers
+        self._controllers = controllers
         self._timers = timers
-        self._notes = notes
-        # Runners whose room has changed, for entries that are short of room and for all others.
-        self._untold_scarce: set[str] = set()
-        self._untold: set[str] = set()
+        self._reservations = reservations
+        # Runners with unsent changes of room: for entries that are short of room, and for all.
+        self._changed_scarce: set[str] = set()
+        self._changed: set[str] = set()
         self._scarce_timer = Delayed(timers, SCARCE_INTERVAL_MS, self.send_room_to_waiting)
         self._relaxed_timer = Delayed(timers, RELAXED_INTERVAL_MS, self.send_room)
-        # What all entries were told last of each runner, so that only changes are told again.
-        self._told: dict[str, orders.RunnerReport] = {}
+        # The last report of each runner's state to all entries; only changes are sent again.
+        self._sent_reports: dict[str, orders.RunnerReport] = {}
 
     def report(
         self, controller: RunnerController, events: list[tuple[Run, orders.RunEvent]]
     ) -> None:
-        """Tell owners what happened to their runs, and all entries of the room soon."""
+        """Send events of runs to their owners, and schedule reports of the room to all entries."""
         by_owner: dict[str, list[orders.RunEvent]] = {}
         for run, event in events:
             by_owner.setdefault(run.owner, []).append(event)
@@ -61,24 +62,25 @@
         for link in owners:
             link.send(orders.RunEvents(controller.runner_id, tuple(by_owner[link.owner])))
         if any(event.kind in FREES_ROOM for _, event in events):
-            self._tell_freed(controller, owners)
+            self._send_freed(controller, owners)
         self.mark_room_changed(controller.runner_id)
 
-    def _tell_freed(self, controller: RunnerController, owners: list[EntryLink]) -> None:
-        """Tell of freed room at once: who it is kept for, or else whose runs have ended."""
+    def _send_freed(self, controller: RunnerController, owners: list[EntryLink]) -> None:
+        """Report freed room at once to the entry it is offered to, or else to the runs' owners."""
         chosen = self._offer(controller)
         for link in owners if chosen is None else [chosen]:
-            self._tell_room(controller, link)
+            self._send_room_change(controller, link)
 
     def _offer(self, controller: RunnerController) -> EntryLink | None:
-        """Choose an entry that has use for the free room, and keep it for that one; or None.
+        """Choose an entry that can use the free room, and offer it the room; or return None.
 
-        It is one of those with the most urgent work, by chance and by how much waits there. If
-        all heard of the same room, most of their orders would be refused, and small entries,
-        which answer later, would get none. Nothing is kept if work waits at one entry only.
+        The choice is random among the entries with the most urgent work, weighted by their waiting
+        jobs. If all entries were sent the same room, most of their orders would be refused, and
+        small entries, which answer later, would get none. If work waits at one entry only, that
+        entry is chosen and no offer is made.
         """
         upstream = controller.ledger.upstream
-        room = controller.free_for(NOBODY)
+        room = controller.free_for(NO_OWNER)
         if room.cpu_milli <= 0 or room.memory_mb < 0:
             return None
         waiting = [link for link in self._links if upstream in link.demand]
@@ -101,14 +103,14 @@
         return chosen
 
     def reoffer_room(self, controller: RunnerController, link: EntryLink) -> None:
-        """Offer what an entry has left of the room that was kept for it to the next one."""
+        """Offer the room that an entry has left of its offer to the next entry."""
         if controller.offers.decline(link.owner):
             chosen = self._offer(controller)
             if chosen is not None:
-                self._tell_room(controller, chosen)
+                self._send_room_change(controller, chosen)
 
     @staticmethod
-    def _describe(controller: RunnerController) -> orders.RunnerReport:
+    def _runner_report(controller: RunnerController) -> orders.RunnerReport:
         ledger = controller.ledger
         capacity = ledger.capacity or Resources()
         return orders.RunnerReport(
@@ -121,8 +123,8 @@
             capacity.accelerators,
         )
 
-    def _count_room(self, controller: RunnerController, link: EntryLink) -> orders.RoomReport:
-        """Return a runner's room as one entry is told it."""
+    def _room_report(self, controller: RunnerController, link: EntryLink) -> orders.RoomReport:
+        """Return the report of a runner's room to one entry."""
         ledger = controller.ledger
         free = controller.free_for(link.owner)
         now_ms = self._timers.now_ms()
@@ -134,13 +136,13 @@
             link.orders,
             ledger.speed.slowness_permille(now_ms),
             ledger.speed.count(now_ms),
-            self._kept_rows(controller, free),
+            self._reserved_rows(controller, free),
         )
 
-    def _kept_rows(
+    def _reserved_rows(
         self, controller: RunnerController, free: Resources
     ) -> tuple[orders.KeptRoom, ...]:
-        """Return what is kept from queues, while the runner is nearly full."""
+        """Return the room that is reserved from queues while the runner is nearly full."""
         if controller.ledger.capacity is None or free.cpu_milli <= 0:
             return ()
         ample = free.cpu_milli - AMPLE_SHARE * controller.ledger.capacity.cpu_milli
@@ -149,45 +151,45 @@
             for queue, cpu_milli in controller.kept_cpu_milli().items()
             if cpu_milli > ample
         )
-        if self._notes is not None:
-            self._notes.note(controller.ledger, rows, self._timers.now_ms())
+        if self._reservations is not None:
+            self._reservations.note(controller.ledger, rows, self._timers.now_ms())
         return rows
 
-    def _tell_room(self, controller: RunnerController, link: EntryLink) -> None:
-        """Tell one entry a runner's room, unless it knows."""
-        report = self._count_room(controller, link)
+    def _send_room_change(self, controller: RunnerController, link: EntryLink) -> None:
+        """Send a runner's room to one entry if it has changed since the last report."""
+        report = self._room_report(controller, link)
         if link.sent_room.get(controller.runner_id) != report:
             link.sent_room[controller.runner_id] = report
             link.send(report)
 
     def send_runner(self, controller: RunnerController, link: EntryLink) -> None:
-        """Tell one entry a runner's state and room, whether they have changed or not."""
-        link.send(self._describe(controller))
+        """Send a runner's state and room to one entry, even if they have not changed."""
+        link.send(self._runner_report(controller))
         self.resend_room(controller, link)
 
     def resend_room(self, controller: RunnerController, link: EntryLink) -> None:
-        """Tell one entry a runner's room, whether it has changed or not."""
+        """Send a runner's room to one entry, even if it has not changed."""
         link.sent_room.pop(controller.runner_id, None)
-        self._tell_room(controller, link)
+        self._send_room_change(controller, link)
 
     def send_room_to_waiting(self) -> None:
-        """Tell entries that are short of room what has changed, and all of new states."""
-        changed = self._untold_scarce
-        self._untold_scarce = set()
+        """Send changed room to entries short of room, and changed states to all entries."""
+        changed = self._changed_scarce
+        self._changed_scarce = set()
         for controller in self._present(changed):
             self._send_changes(controller)
 
     def send_room(self) -> None:
-        """Tell all entries of the states and room that have changed."""
-        changed = self._untold
-        self._untold = set()
+        """Send changed states and room to all entries."""
+        changed = self._changed
+        self._changed = set()
         for controller in self._present(changed):
             self._send_state(controller)
             for link in self._links:
-                self._tell_room(controller, link)
+                self._send_room_change(controller, link)
 
     def _present(self, runner_ids: set[str]) -> list[RunnerController]:
-        return [self._keepers[one] for one in runner_ids if one in self._keepers]
+        return [self._controllers[one] for one in runner_ids if one in self._controllers]
 
     def _send_changes(self, controller: RunnerController) -> None:
         self._offer(controller)
@@ -196,45 +198,47 @@
         now_ms = self._timers.now_ms()
         for link in self._links:
             if upstream in link.demand or now_ms - link.short_ms < SCARCE_MS:
-                self._tell_room(controller, link)
+                self._send_room_change(controller, link)
         if controller.offers.any(now_ms):
-            self.mark_room_changed(controller.runner_id)  # what is not used is told to all later
+            self.mark_room_changed(
+                controller.runner_id
+            )  # unused offers are sent to all entries later
 
     def _send_state(self, controller: RunnerController) -> None:
-        """Tell all entries what a runner is if that has changed, with its room."""
-        description = self._describe(controller)
-        if self._told.get(controller.runner_id) == description:
+        """Send a runner's state and room to all entries if its state has changed."""
+        report = self._runner_report(controller)
+        if self._sent_reports.get(controller.runner_id) == report:
             return
-        self._told[controller.runner_id] = description
+        self._sent_reports[controller.runner_id] = report
         for link in self._links:
-            link.send(description)
-            self._tell_room(controller, link)
+            link.send(report)
+            self._send_room_change(controller, link)
         if controller.ledger.gone:
             self._forget(controller.runner_id)
 
     def _forget(self, runner_id: str) -> None:
-        del self._told[runner_id]
+        del self._sent_reports[runner_id]
         for link in self._links:
             link.sent_room.pop(runner_id, None)
 
     def mark_room_changed(self, runner_id: str) -> None:
-        """Note that all entries are to hear of a runner's room."""
-        self._untold_scarce.add(runner_id)
-        self._untold.add(runner_id)
+        """Schedule reports of a runner's room to all entries."""
+        self._changed_scarce.add(runner_id)
+        self._changed.add(runner_id)
         self._scarce_timer.ask()
         self._relaxed_timer.ask()
 
     def send_full_state(self, link: EntryLink) -> None:
-        """Tell an entry that has just joined what is held here."""
-        for controller in self._keepers.values():
-            self._tell_held(controller, link)
+        """Send the state, room and runs of all runners to an entry that has just joined."""
+        for controller in self._controllers.values():
+            self._send_held(controller, link)
 
     def broadcast_holdings(self, controller: RunnerController) -> None:
-        """Tell all entries what a runner holds, before any of them may order work there."""
+        """Send a runner's runs to all entries, before any of them may order work there."""
         for link in self._links:
-            self._tell_held(controller, link)
+            self._send_held(controller, link)
 
-    def _tell_held(self, controller: RunnerController, link: EntryLink) -> None:
+    def _send_held(self, controller: RunnerController, link: EntryLink) -> None:
         self.send_runner(controller, link)
         if controller.ledger.polled:
             ended = controller.ledger.recent_ends_of(link.entry, self._timers.now_ms())
@@ -242,21 +246,21 @@
             link.send(orders.Holdings(controller.runner_id, (), rows))
 
     def resend_unstored_ends(self) -> None:
-        """Tell some entries of ends that nobody has stored for long.
+        """Send ends that no entry has stored in time to a few random entries.
 
-        Their owners know of them, if they live; any other entry finds out what became of the job
-        by two reads of the store. Others are told with the next call, if nothing comes of it.
+        The owners of the runs, if alive, know these ends already; any other entry learns the state
+        of the job with two reads of the store. The next call chooses other entries at random.
         """
         links = list(self._links)
-        told = random.sample(links, min(len(links), ORPHAN_ENTRIES))
-        limit_ms = self._timers.now_ms() - ORPHAN_AFTER_MS
-        for controller in self._keepers.values():
+        chosen = random.sample(links, min(len(links), UNSTORED_SEND_ENTRIES))
+        limit_ms = self._timers.now_ms() - UNSTORED_AFTER_MS
+        for controller in self._controllers.values():
             rows = tuple(
                 end.to_event(number)
                 for number, end in controller.ledger.ends.items()
                 if end.noted_ms < limit_ms and not end.stored and not end.superseded
             )
-            for link in told if rows else ():
+            for link in chosen if rows else ():
                 link.send(orders.RunEvents(controller.runner_id, rows))
 
 
--- a/src/gapdrum/agent/program.py
+++ b/src/gapdrum/agent/program.py
@@ -11,7 +11,7 @@
 from gapdrum.agent.entry_orders import EntryOrders
 from gapdrum.agent.grants import Grants
 from gapdrum.agent.notifier import EntryNotifier
-from gapdrum.agent.reservation_log import BOUND_AGAIN_MS, ReservationLog
+from gapdrum.agent.reservation_log import RELEASE_DELAY_MS, ReservationLog
 from gapdrum.agent.runner_controller import RunnerController
 from gapdrum.agent.runner_registry import RunnerRegistry
 from gapdrum.agent.table_standby import TableStandby
@@ -153,7 +153,7 @@
         self.timers.subscribe(orders.BEAT_INTERVAL_MS, self.standby.check)
         self.timers.subscribe(ARRANGE_INTERVAL_MS, self.links.update_links)
         self.timers.subscribe(
-            BOUND_AGAIN_MS, lambda: self.reservation_log.log_releases(self.timers.now_ms())
+            RELEASE_DELAY_MS, lambda: self.reservation_log.log_releases(self.timers.now_ms())
         )
         self.timers.subscribe(ORPHAN_INTERVAL_MS, self.notifier.resend_unstored_ends)
         await stopping.wait()
