--- a/src/gapdrum/agent/entry_directory.py
+++ b/src/gapdrum/agent/entry_directory.py
@@ -1,4 +1,4 @@
-"""Which entries there are: the table of addresses in the store, or else the settings."""
+"""Finds the entries: by the table of addresses in the store, or else in the settings."""
 
 import asyncio
 
@@ -10,17 +10,17 @@
 from gapdrum.platform.rows import RowStore
 from gapdrum.timers import MS_PER_S
 
-# Entries come and go seldom; a feed that is cut silently is noticed after this and a bit.
+# Entries change rarely. A silently cut feed is noticed shortly after this wait.
 FEED_WAIT_MS = 3_000
-# Changes often come together, as at a start of all entries: each one would be a call of each agent
-# otherwise, 5,600 calls where 35 entries and 160 agents start.
+# Pause after a change, as changes often come together: if 35 entries and 160 agents start, a call
+# for each change would be 5,600 calls.
 CHANGE_PAUSE_MS = 300
 READ_TIMEOUT_MS = 1_000
 RETRY_INTERVAL_MS = 200
 
 
 class EntryDirectory:
-    """Follows the table of addresses, and tells ``links`` what it says."""
+    """Watches the table of addresses, and registers its entries at ``links``."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self._after: int | None = None
 
     async def follow(self) -> None:
-        """Follow the table for ever."""
+        """Watch the table until cancelled."""
         failing = False
         while True:
             try:
@@ -48,8 +48,8 @@
                 if not failing:
                     self._log.write("entry_feed_lost", code=error.code, reason=error.message)
                 failing = True
-                # Agents that start while the store is away would find no entry until it returns:
-                # after a restart of all processes 182 of 3,071 jobs of a day were refused so.
+                # Agents that start while the store is unavailable would find no entry until it
+                # returns, so that jobs would be refused after a restart of all processes.
                 self._links.join_seeds(self._seeds)
                 await asyncio.sleep(RETRY_INTERVAL_MS / MS_PER_S)
 
--- a/src/gapdrum/agent/program.py
+++ b/src/gapdrum/agent/program.py
@@ -1,4 +1,4 @@
-"""The agent process: its parts, what entries tell it, its start and its shutdown."""
+"""The agent process: its components, start and shutdown."""
 
 import asyncio
 import signal
@@ -30,14 +30,14 @@
 from gapdrum.transport.metrics_listener import open_metrics
 from gapdrum.zone_watch import ZoneWatch
 
-# How often ends that nobody has stored are told again.
-ORPHAN_INTERVAL_MS = 1_000
-# How often it is judged which entries to serve: a lost one is replaced after 1 s and this.
-ARRANGE_INTERVAL_MS = 250
+# How often ends that no entry has stored are sent again.
+RESEND_ENDS_INTERVAL_MS = 1_000
+# How often the links are updated: a lost entry is replaced after 1 s and this interval.
+UPDATE_LINKS_INTERVAL_MS = 250
 
 
 class Agent:
-    """The parts of one agent process."""
+    """The components of one agent process."""
 
     def __init__(self, boot: BootSettings, timers: Timers, log: EventLog) -> None:
         self.boot = boot
@@ -59,7 +59,7 @@
             self.links, self.controllers, self.grants, self.notifier, timers, log, self.shares
         )
         self.links.held_owners = self._held_owners
-        self.links.on_joined = self._welcome
+        self.links.on_joined = self._handle_join
         self.links.on_renamed = self.orders.rename_owner
         self.links.on_owner_lost = self.orders.stop_nondurable_runs
         self.links.on_message = self.orders.take
@@ -67,7 +67,7 @@
         self.zones = ZoneWatch(log)
         self.operators.subscribe(self.zones.apply_table)
         self.standby = TableStandby(self.operators, self.links, timers, log)
-        self.zones.on_change = self._take_zones
+        self.zones.on_change = self._apply_zones
         self.orders.zones = self.zones
         self.links.drained_zones = lambda: self.zones.drains.zones
         self.runners = RunnerRegistry(
@@ -98,11 +98,11 @@
             default=0,
         )
         gauges["entries_connected"] = lambda: sum(bool(link.owner) for link in self.links)
-        self.log.measures.queue_gauges = self._queue_figures
+        self.log.measures.queue_gauges = self._queue_gauges
         self.log.measures.messages = {"sent": self.sent, "received": self.received}
 
-    def _queue_figures(self) -> Iterator[tuple[str, str, int]]:
-        """Yield the room that each queue uses here, and what is kept from it."""
+    def _queue_gauges(self) -> Iterator[tuple[str, str, int]]:
+        """Yield the room that each queue uses at the runners, and the room reserved from it."""
         used: Counter[str] = Counter()
         kept: Counter[str] = Counter()
         for controller in self.controllers.values():
@@ -120,20 +120,20 @@
         for controller in self.controllers.values():
             yield from controller.ledger.held_owners(now_ms)
 
-    def _welcome(self, link: EntryLink) -> None:
-        """Tell an entry that has just joined what is held here, and let it claim its runs."""
+    def _handle_join(self, link: EntryLink) -> None:
+        """Send the held runs to an entry that has just joined, and have it claim its own."""
         if self.zones.drains.known:
             link.send(self.zones.drains_told())
         self.orders.require_claims(link)
         self.notifier.send_full_state(link)
 
-    def _take_zones(self) -> None:
-        """Start nothing in a drained zone, and tell the entries, which may not hear the store."""
+    def _apply_zones(self) -> None:
+        """Apply drained zones, and send them to the entries, which may lack access to the store."""
         self.runners.take_zones()
         self.links.update_links()
-        told = self.zones.drains_told()
+        drains = self.zones.drains_told()
         for link in self.links:
-            link.send(told)
+            link.send(drains)
 
     # Start and end.
 
@@ -142,7 +142,7 @@
         stopping = asyncio.Event()
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, stopping.set)
-        loop.add_signal_handler(signal.SIGHUP, self._note_reload)
+        loop.add_signal_handler(signal.SIGHUP, self._log_reload)
         self.log.write("started", role="agent", zone=self.boot.zone, life=self.incarnation)
         self.runners.start()
         self._background.keep(self.directory.follow)
@@ -151,11 +151,11 @@
         await open_metrics(self.boot.host, self.log.measures, self.timers)
         self.timers.subscribe(orders.BEAT_INTERVAL_MS, self.links.beat)
         self.timers.subscribe(orders.BEAT_INTERVAL_MS, self.standby.check)
-        self.timers.subscribe(ARRANGE_INTERVAL_MS, self.links.update_links)
+        self.timers.subscribe(UPDATE_LINKS_INTERVAL_MS, self.links.update_links)
         self.timers.subscribe(
             RELEASE_DELAY_MS, lambda: self.reservation_log.log_releases(self.timers.now_ms())
         )
-        self.timers.subscribe(ORPHAN_INTERVAL_MS, self.notifier.resend_unstored_ends)
+        self.timers.subscribe(RESEND_ENDS_INTERVAL_MS, self.notifier.resend_unstored_ends)
         await stopping.wait()
         self.log.write("stopping", open=len(self.controllers))
         await asyncio.gather(
@@ -165,12 +165,12 @@
         self.log.flush()
         return 0
 
-    def _note_reload(self) -> None:
+    def _log_reload(self) -> None:
         self.log.write("settings_signal", note="read again at the next start")
 
 
 def _seeds(boot: BootSettings) -> tuple[EntryAddress, ...]:
-    """Return where the entries that the settings name take streams: at the same port on each."""
+    """Return the stream addresses of the entries in the settings, all with the same port."""
     return tuple(EntryAddress("", "", seed.host, boot.streams_port) for seed in boot.seeds)
 
 
--- a/src/gapdrum/agent/runner_registry.py
+++ b/src/gapdrum/agent/runner_registry.py
@@ -1,4 +1,4 @@
-"""The runners of this machine: found by their heartbeats, by asking, and in the platform's list."""
+"""The runners of this machine: found by heartbeats, by identity calls, in the platform's list."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -27,18 +27,18 @@
 IDENTITY_TIMEOUT_MS = 300
 IDENTITY_RETRY_MS = 250
 LIST_TIMEOUT_MS = 500
-# All agents may start at once, and share what the list answers a second.
+# All agents may start at once, and share the call rate that the list allows.
 LIST_RETRY_MS = 500
 
 Identify = Callable[[Endpoint, int], Awaitable[str]]
 
 
 class RunnerRegistry:
-    """Takes the runners' reports, and keeps a ``RunnerController`` for each incarnation.
+    """Handles heartbeats, and has a ``RunnerController`` for each incarnation of a runner.
 
-    Whoever listens at an address is asked who it is before a heartbeat of another runner is
-    believed: a heartbeat that a cut has delayed may come after its sender's successor has
-    registered there.
+    Before a heartbeat replaces a known runner at the same address, the process that listens there
+    is asked for its identity: a delayed heartbeat may arrive after the sender's successor has
+    registered.
     """
 
     def __init__(
@@ -54,9 +54,9 @@
         shares: RoomShares | None = None,
     ) -> None:
         self._boot = boot
-        self._keepers = controllers
+        self._controllers = controllers
         self._grants = grants
-        self._reports = notifier
+        self._notifier = notifier
         self._timers = timers
         self._log = log
         self._zones = zones
@@ -65,49 +65,49 @@
         self._background = Background(log)
 
     def start(self) -> None:
-        """Begin to look for the runner, without waiting for its next heartbeat."""
+        """Start to find the runner, without waiting for its next heartbeat."""
         self._background.keep(self._find_runner)
 
-    # The runners' reports.
+    # Heartbeats.
 
     def handle(self, request: HttpRequest) -> HttpResponse | Awaitable[HttpResponse]:
-        """Take a heartbeat, or a runner's word that it ends."""
+        """Handle a heartbeat or a deregistration."""
         if request.path.startswith(HEARTBEAT_PREFIX):
-            return self._take_heartbeat(request)
+            return self._handle_heartbeat(request)
         if request.path.startswith(DEREGISTER_PREFIX):
-            controller = self._keepers.get(request.path[len(DEREGISTER_PREFIX) :])
+            controller = self._controllers.get(request.path[len(DEREGISTER_PREFIX) :])
             if controller is not None:
                 controller.set_leaving()
             return json_response(200, {})
         return json_response(404, {"code": "no_such_path"})
 
-    def _take_heartbeat(self, request: HttpRequest) -> HttpResponse | Awaitable[HttpResponse]:
+    def _handle_heartbeat(self, request: HttpRequest) -> HttpResponse | Awaitable[HttpResponse]:
         runner_id = request.path[len(HEARTBEAT_PREFIX) :]
         try:
             heartbeat = decode_heartbeat(runner_id, request.body)
         except ValueError as error:
             self._log.write("heartbeat_rejected", runner=runner_id, reason=str(error))
             return json_response(400, {"code": "malformed_heartbeat"})
-        present = self._keeper_at(heartbeat.address)
-        if runner_id in self._keepers or present is None:
+        present = self._controller_at(heartbeat.address)
+        if runner_id in self._controllers or present is None:
             self._ensure_controller(runner_id, heartbeat.address).apply_heartbeat(heartbeat)
             return json_response(200, {})
-        return self._judge_newcomer(heartbeat, present)
+        return self._identify_unknown(heartbeat, present)
 
-    def _keeper_at(self, address: Endpoint) -> RunnerController | None:
-        for controller in self._keepers.values():
+    def _controller_at(self, address: Endpoint) -> RunnerController | None:
+        for controller in self._controllers.values():
             if controller.address == address and not controller.ledger.gone:
                 return controller
         return None
 
-    async def _judge_newcomer(
+    async def _identify_unknown(
         self, heartbeat: Heartbeat, present: RunnerController
     ) -> HttpResponse:
-        """Take the heartbeat of an unknown runner if it is the one that listens there now."""
+        """Apply the heartbeat of an unknown runner if that one listens at its address now."""
         try:
             listening = await self._identify(heartbeat.address, IDENTITY_TIMEOUT_MS)
         except (NotSentError, NoReplyError) as error:
-            # It beats again, and a look tells by then whether the one that was known is gone.
+            # The runner repeats its heartbeat; by then a poll shows whether the known one is gone.
             self._log.write("runner_not_found", address=str(heartbeat.address), code=error.code)
             return json_response(503, {"code": "runner_not_reached"})
         if listening == heartbeat.runner_id:
@@ -122,7 +122,7 @@
         return json_response(200, {})
 
     def _ensure_controller(self, runner_id: str, address: Endpoint) -> RunnerController:
-        controller = self._keepers.get(runner_id)
+        controller = self._controllers.get(runner_id)
         if controller is not None:
             return controller
         controller = RunnerController(
@@ -132,47 +132,47 @@
             self._boot.run_lease_ms,
             self._timers,
             self._log,
-            self._reports.report,
-            self._reports.broadcast_holdings,
+            self._notifier.report,
+            self._notifier.broadcast_holdings,
             self._shares,
         )
-        self._keepers[runner_id] = controller
+        self._controllers[runner_id] = controller
         self.take_zones()
         self._log.write("runner_found", runner=runner_id, address=str(address))
-        self._background.keep(lambda: self._keep_runner(controller))
+        self._background.keep(lambda: self._run_controller(controller))
         return controller
 
     def take_zones(self) -> None:
-        """Close the runners, or open them, as operators drain this zone or restore it."""
+        """Close the zone of the runners to new runs if operators have drained it, or reopen it."""
         closed = self._zones.drains.is_closed(self._boot.zone)
-        for controller in self._keepers.values():
+        for controller in self._controllers.values():
             controller.set_zone_closed(closed)
 
-    async def _keep_runner(self, controller: RunnerController) -> None:
+    async def _run_controller(self, controller: RunnerController) -> None:
         await controller.keep()
-        self._reports.send_room()
-        if self._keepers.get(controller.runner_id) is controller:
-            del self._keepers[controller.runner_id]
+        self._notifier.send_room()
+        if self._controllers.get(controller.runner_id) is controller:
+            del self._controllers[controller.runner_id]
 
-    # Asking.
+    # Discovery.
 
     async def _find_runner(self) -> None:
-        """Ask the runner who it is."""
+        """Ask the runner for its identity until it is found."""
         address = self._boot.runner
-        while address is not None and not self._keepers:
+        while address is not None and not self._controllers:
             try:
                 runner_id = await self._identify(address, IDENTITY_TIMEOUT_MS)
             except (NotSentError, NoReplyError) as error:
-                # Its heartbeat will tell; until then it is asked again.
+                # The call is repeated until the runner answers or sends a heartbeat.
                 self._log.write("runner_not_found", address=str(address), code=error.code)
                 runner_id = ""
-            if runner_id and not self._keepers:
-                await self._learn_room(self._ensure_controller(runner_id, address))
+            if runner_id and not self._controllers:
+                await self._fetch_capacity(self._ensure_controller(runner_id, address))
                 return
             await asyncio.sleep(IDENTITY_RETRY_MS / MS_PER_S)
 
-    async def _learn_room(self, controller: RunnerController) -> None:
-        """Look the runner's room up, as its next heartbeat may be a second or more away."""
+    async def _fetch_capacity(self, controller: RunnerController) -> None:
+        """Read the capacity from the list, as the next heartbeat may be a second away or more."""
         machines = self._boot.machine_list
         while (
             machines is not None
--- a/src/gapdrum/agent/table_standby.py
+++ b/src/gapdrum/agent/table_standby.py
@@ -1,4 +1,4 @@
-"""The agent's own look at the operators' table, while no entry that it serves follows it."""
+"""The agent's own feed of the operators' table, while none of its entries follows the table."""
 
 import asyncio
 from collections.abc import Iterable
@@ -9,14 +9,14 @@
 from gapdrum.operator_feed import OperatorFeed
 from gapdrum.timers import Timers
 
-# Entries tell of each change at once, so the agent follows the table itself only after it has
-# had no entry that does for so long: a restarted agent has joined one by then. 65 agents that
-# all follow it ask the store 43 times a second more, and a day of them took 87% longer to play.
+# Entries forward each change at once, so the agent follows the table itself only if for so long
+# none of its entries does; a restarted agent has joined one by then. 65 agents that all follow the
+# table would add 43 calls a second to the store.
 STANDBY_AFTER_MS = 500
 
 
 class TableStandby:
-    """Starts the feed when nobody else would tell of a drained zone, and ends it after that."""
+    """Runs the feed while no connected entry would report a drained zone to this agent."""
 
     def __init__(
         self, feed: OperatorFeed, links: Iterable[EntryLink], timers: Timers, log: EventLog
@@ -26,17 +26,17 @@
         self._timers = timers
         self._log = log
         self._background = Background(log)
-        self._told_ms = timers.now_ms()
+        self._followed_ms = timers.now_ms()
         self._following: asyncio.Task | None = None
 
     def check(self) -> None:
-        """Judge whether to follow the table; called with each beat."""
+        """Start or stop following the table; called with each heartbeat."""
         now_ms = self._timers.now_ms()
         if any(link.owner and link.follows_table for link in self._links):
-            self._told_ms = now_ms
+            self._followed_ms = now_ms
             self._stop()
-        elif self._following is None and now_ms - self._told_ms > STANDBY_AFTER_MS:
-            self._log.write("table_followed", silent_ms=now_ms - self._told_ms)
+        elif self._following is None and now_ms - self._followed_ms > STANDBY_AFTER_MS:
+            self._log.write("table_followed", silent_ms=now_ms - self._followed_ms)
             self._following = self._background.keep(self._feed.follow)
 
     def _stop(self) -> None:
