--- a/features/steps/lost_answer_steps.py
+++ b/features/steps/lost_answer_steps.py
@@ -23,8 +23,8 @@
 ROOM = Resources(500, 10, 0)
 
 
-class LeapingSelector(selectors.SelectSelector):
-    """Lets the time that would be waited for pass at once."""
+class VirtualSelector(selectors.SelectSelector):
+    """Advances virtual time by each wait instead of waiting."""
 
     time_s = BEGIN_MS / 1_000
 
@@ -33,11 +33,11 @@
         return super().select(0)
 
 
-class LeapingLoop(asyncio.SelectorEventLoop):
-    """A loop, and a timer service, in virtual time."""
+class VirtualLoop(asyncio.SelectorEventLoop):
+    """An event loop and a timer service in virtual time."""
 
     def __init__(self):
-        self.selector = LeapingSelector()
+        self.selector = VirtualSelector()
         super().__init__(self.selector)
 
     def time(self):
@@ -53,21 +53,21 @@
 
 
 class LosingRunner:
-    """Holds runs that end at given times, and loses answers as it is told."""
+    """Holds runs that end at given times, and loses the answers that ``is_lost`` selects."""
 
     def __init__(self, loop, is_lost):
         self.loop = loop
         self.is_lost = is_lost
         self.answers = itertools.count(1)
-        self.ends = []  # (time, run), in the order of time
-        self.begun = {}  # run: since when
-        self.looks = []  # when each began
-        self.renewals = []  # until when, on its clock, which is ours
+        self.ends = []  # (time, run), in order of time
+        self.begun = {}  # when each run began
+        self.polls = []  # when each began
+        self.renewals = []  # the ends of the leases; the runner's clock is the agent's
         self.starts = 0
         self.lose_starts = False
         self.replaced = False
-        self.late_ms = 0  # of every other answer
-        self.under_way = self.most_under_way = 0
+        self.late_ms = 0  # delay of every other answer
+        self.pending = self.max_pending = 0
         self.last_answer_ms = 0
 
     def run(self, number, begin_ms, end_ms):
@@ -76,7 +76,7 @@
         self.ends.append((end_ms, key))
         return key
 
-    def picture(self, seen):
+    def snapshot(self, seen):
         now_ms = self.loop.now_ms()
         ended = [key for end_ms, key in self.ends if end_ms <= now_ms]
         rows = [EndedRun(n, key, RunEnd.DONE) for n, key in enumerate(ended, 1) if n > seen]
@@ -90,14 +90,14 @@
     async def poll(self, until_ms, seen, fence, wait_ms, timeout_ms):
         began_ms = self.loop.now_ms()
         if fence:
-            self.looks.append(began_ms)
+            self.polls.append(began_ms)
             self.renewals.append(until_ms)
-        self.under_way += 1
-        self.most_under_way = max(self.under_way, self.most_under_way)
+        self.pending += 1
+        self.max_pending = max(self.pending, self.max_pending)
         try:
             return await self.answer(seen, began_ms, wait_ms, timeout_ms)
         finally:
-            self.under_way -= 1
+            self.pending -= 1
 
     async def answer(self, seen, began_ms, wait_ms, timeout_ms):
         later = [end_ms for end_ms, _ in self.ends[seen:]]
@@ -105,14 +105,14 @@
         await asyncio.sleep(max(0, until_ms - began_ms) / 1_000)
         if self.replaced:
             raise RunnerReplacedError("another incarnation")
-        shown = self.picture(seen)
+        answer = self.snapshot(seen)
         number = next(self.answers)
         if self.is_lost(number):
             await asyncio.sleep((began_ms + timeout_ms - self.loop.now_ms()) / 1_000)
             raise TimedOutError("lost")
         await asyncio.sleep((ANSWER_MS + self.late_ms * (number % 2)) / 1_000)
         self.last_answer_ms = self.loop.now_ms()
-        return shown
+        return answer
 
     async def start(self, run, _spec, _expires_ms, _fence, timeout_ms):
         self.starts += 1
@@ -124,11 +124,11 @@
         return self.loop.now_ms()
 
     def close(self):
-        """End nothing."""
+        """Do nothing."""
 
 
-def new_keeper(context, is_lost):
-    context.loop = loop = LeapingLoop()
+def new_controller(context, is_lost):
+    context.loop = loop = VirtualLoop()
     context.add_cleanup(loop.close)
     context.events = []  # (when, run, event)
     context.room = []  # (when, whether there is any)
@@ -147,35 +147,35 @@
     context.controller._context.calls = context.runner
 
 
-@given("a keeper of a runner that loses every fourth answer")
+@given("a controller of a runner that loses every fourth answer")
 def loses_fourth(context):
-    new_keeper(context, lambda number: number % 4 == 0)
+    new_controller(context, lambda number: number % 4 == 0)
 
 
-@given("a keeper of a runner that loses every second answer")
+@given("a controller of a runner that loses every second answer")
 def loses_second(context):
-    new_keeper(context, lambda number: number > 2 and number % 2 == 0)
+    new_controller(context, lambda number: number > 2 and number % 2 == 0)
 
 
-@given("a keeper of a runner that loses no answer")
+@given("a controller of a runner that loses no answer")
 def loses_none(context):
-    new_keeper(context, lambda number: False)
+    new_controller(context, lambda number: False)
 
 
-@given("a keeper of a runner that loses its third answer only")
+@given("a controller of a runner that loses its third answer only")
 def loses_third(context):
-    new_keeper(context, lambda number: number == 3)
+    new_controller(context, lambda number: number == 3)
 
 
-@given("a keeper of a runner that loses all answers from its third on")
+@given("a controller of a runner that loses all answers from its third on")
 def loses_all(context):
-    new_keeper(context, lambda number: number >= 3)
+    new_controller(context, lambda number: number >= 3)
     add_run(context, 0, BEGIN_MS, 60_000)
 
 
-@given("a keeper of a runner that answers every other look 20 ms late, and has lost an answer")
+@given("a controller of a runner that answers every other poll 20 ms late, and has lost an answer")
 def answers_late(context):
-    new_keeper(context, lambda number: False)
+    new_controller(context, lambda number: False)
     context.runner.late_ms = 20
     context.controller._context.schedule.record_lost_answer(BEGIN_MS)
 
@@ -188,7 +188,7 @@
 
 
 def play(context, time_ms, *also):
-    """Let the keeper look for some time, with the owner heard all the while."""
+    """Run the controller for some time, while the owner echoes, unless it is silent."""
 
     async def keep():
         tasks = [asyncio.create_task(one) for one in (context.controller.keep(), *also)]
@@ -212,13 +212,13 @@
     play(context, 37 * count + 700)
 
 
-@when("it is kept for {time_ms:d} ms")
+@when("the controller runs for {time_ms:d} ms")
 def time_passes(context, time_ms):
     play(context, time_ms)
 
 
 def delays(context):
-    """Return how much later than it came each end was seen, in their order."""
+    """Return the delay with which each end was seen, in order of the ends."""
     ends = {key: end_ms for end_ms, key in context.runner.ends}
     seen = {
         run.key: at_ms - ends[run.key]
@@ -229,13 +229,13 @@
 
 
 @then(
-    "at least {most:d} of {count:d} ends are seen within {time_ms:d} ms, and all within "
+    "at least {least:d} of {count:d} ends are seen within {time_ms:d} ms, and all within "
     "{limit_ms:d} ms"
 )
-def seen_within(context, most, count, time_ms, limit_ms):
+def seen_within(context, least, count, time_ms, limit_ms):
     late = delays(context)
     assert len(late) == count
-    assert sum(delay <= time_ms for delay in late) >= most, sorted(late)
+    assert sum(delay <= time_ms for delay in late) >= least, sorted(late)
     assert max(late) <= limit_ms, sorted(late)
 
 
@@ -245,37 +245,37 @@
     assert max(late) <= time_ms, sorted(late)
 
 
-@then("its room was never taken away")
-def room_kept(context):
+@then("its room was never reported as zero")
+def room_never_zero(context):
     assert all(some for _, some in context.room), context.room
 
 
-@then("at most {count:d} looks were under way at once")
-def under_way_at_once(context, count):
-    assert context.runner.most_under_way <= count, context.runner.most_under_way
+@then("at most {count:d} polls were pending at once")
+def pending_at_once(context, count):
+    assert context.runner.max_pending <= count, context.runner.max_pending
 
 
-@then("there was at most 1 look for each end, and 5 more each second")
-def looks_for_ends(context):
+@then("there was at most 1 poll for each end, and 5 more each second")
+def polls_for_ends(context):
     spent_s = (context.loop.now_ms() - BEGIN_MS) / 1_000
     limit = len(context.runner.ends) + 5 * spent_s + 2
-    assert len(context.runner.looks) <= limit, (len(context.runner.looks), limit)
+    assert len(context.runner.polls) <= limit, (len(context.runner.polls), limit)
 
 
-@then("in the last {time_ms:d} ms it was looked at at most {count:d} times")
-def looked_at_lately(context, time_ms, count):
+@then("in the last {time_ms:d} ms it was polled at most {count:d} times")
+def polled_lately(context, time_ms, count):
     since_ms = context.loop.now_ms() - time_ms
-    lately = [one for one in context.runner.looks if one >= since_ms]
+    lately = [one for one in context.runner.polls if one >= since_ms]
     assert len(lately) <= count, lately
 
 
-@then("its room was taken away within {time_ms:d} ms after its last answer")
-def room_taken(context, time_ms):
+@then("its room was reported as zero within {time_ms:d} ms after its last answer")
+def room_reported_zero(context, time_ms):
     gone_ms = next(at_ms for at_ms, some in context.room if not some)
     assert gone_ms <= context.runner.last_answer_ms + time_ms, (gone_ms, context.room)
 
 
-@when("50 ms after a look began the answer of a start is lost")
+@when("the answer to a start is lost 50 ms after a poll began")
 def start_lost(context):
     async def start():
         await asyncio.sleep(0.25)
@@ -301,39 +301,39 @@
     assert context.runner.starts == 1, context.runner.starts
 
 
-@given("two looks under way, the newer of which is answered first")
-def newer_taken(context):
+@given("two pending polls, the newer of which is answered first")
+def newer_used(context):
     context.schedule = schedule = PollSchedule()
     schedule.record_lost_answer(0)
     context.older, context.newer = schedule.begin(200, 0), schedule.begin(200, 25)
     assert schedule.is_news(context.newer.number, 40)
 
 
-@when("the older one, whose picture is not newer, is answered")
+@when("the older one, whose snapshot is not newer, is answered")
 def older_comes(context):
     context.news = [context.schedule.is_news(context.older.number, clock) for clock in (39, 40)]
 
 
-@then("the older look is passed over")
-def older_passed_over(context):
+@then("the older snapshot is ignored")
+def older_ignored(context):
     assert context.news == [False, False]
 
 
-@then("a look that began after both is taken, whatever its clock")
-def later_taken(context):
+@then("a snapshot of a poll that began after both is used, whatever its clock")
+def later_used(context):
     later = context.schedule.begin(200, 50)
     assert context.schedule.is_news(later.number, 40)
 
 
-@then("each end is told once, and nothing is left there")
-def told_once(context):
+@then("each end is reported once, and no run is left there")
+def reported_once(context):
     ended = [run.key for _, run, event in context.events if event.kind == orders.ENDED]
     assert ended == [key for _, key in context.runner.ends], ended
-    assert context.runner.most_under_way > 1
+    assert context.runner.max_pending > 1
     assert not context.controller.ledger.runs, context.controller.ledger.runs
 
 
-@when("its owner falls silent for {time_ms:d} ms")
+@when("its owner sends no echo for {time_ms:d} ms")
 def owner_silent(context, time_ms):
     add_run(context, 0, BEGIN_MS, 60_000)
     play(context, 1_000)
@@ -342,7 +342,7 @@
     play(context, time_ms)
 
 
-@then("no lease was asked for beyond {time_ms:d} ms after the owner's last word")
+@then("no lease was asked for beyond {time_ms:d} ms after the owner's last echo")
 def lease_bounded(context, time_ms):
     latest_ms = max(context.runner.renewals)
     assert latest_ms <= context.last_echo_ms + time_ms, (latest_ms, context.last_echo_ms)
@@ -357,7 +357,7 @@
     play(context, 500)
 
 
-@then("its runs are told as lost once")
+@then("its runs are reported as lost once")
 def lost_once(context):
     lost = [event for _, _, event in context.events if event.kind == orders.LOST]
     assert [event.detail for event in lost] == [orders.RUNNER_GONE], lost
