--- a/features/run_ownership.feature
+++ b/features/run_ownership.feature
@@ -27,7 +27,7 @@
   Scenario: a stop that comes late on its stream does not lengthen the hold
     Given a run for a waiting caller, whose owner has just been heard
     When its owner's stream delays all by 400 ms, a stop comes, and the runner leaves it unanswered
-    Then the run is over 1150 ms after its owner was heard on the earlier stream
+    Then the run is over 1150 ms after its owner's last echo on the earlier stream
 
   # "If it receives no acknowledgement, it ends anyway, some seconds later."
   Scenario: a runner that says that it ends holds its runs until they are proven over
--- a/features/steps/resubmission_steps.py
+++ b/features/steps/resubmission_steps.py
@@ -37,7 +37,7 @@
 
 
 def lease_left_ms(system):
-    """Return how long the leases at all runners still last."""
+    """Return the least remaining time of the leases at all runners."""
     return min(system.call(runner.port, "GET", "/lease")[1]["left_ms"] for runner in system.runners)
 
 
@@ -60,8 +60,8 @@
             process.start()
 
 
-@when("entry 0 stands still, and the caller's connection breaks")
-def stand_still(context):
+@when("entry 0 is paused, and the caller's connection breaks")
+def pause_entry(context):
     context.broken_s = time.monotonic()
     context.system.entries[0].signal(signal.SIGSTOP)
 
@@ -77,7 +77,7 @@
                 job, steps_of(TASKS), entry=1, run_ms=RUN_MS, waits=True
             )
         except NewConnectionError:
-            # On a busy machine an entry takes longer than the pause to start; it was told nothing.
+            # On a busy machine an entry may start later than the pause; the job was not sent.
             assert time.monotonic() < limit_s, "entry 1 takes no connections"
             time.sleep(REFUSED_PAUSE_S)
         else:
@@ -88,23 +88,22 @@
     time.sleep(max(0.0, time_s - time.monotonic()))
 
 
-# Without processes: an owner that hears of runs of earlier submissions.
+# Without processes: an owner that receives events of earlier submissions.
 
 
 @when(
-    "an agent tells of attempt 1 of an earlier submission, at another runner, that it "
-    'ended as "{end}"'
+    'an agent reports that attempt 1 of an earlier submission, at another runner, ended as "{end}"'
 )
-def tell_earlier_end(context, end):
-    tell_earlier(context, orders.ENDED, end)
+def report_earlier_end(context, end):
+    report_earlier(context, orders.ENDED, end)
 
 
-@when("an agent tells of attempt 1 of an earlier submission, at another runner, that it was lost")
-def tell_earlier_loss(context):
-    tell_earlier(context, orders.LOST, orders.RUNNER_GONE)
+@when("an agent reports that attempt 1 of an earlier submission, at another runner, was lost")
+def report_earlier_loss(context):
+    report_earlier(context, orders.LOST, orders.RUNNER_GONE)
 
 
-def tell_earlier(context, kind, detail):
+def report_earlier(context, kind, detail):
     event = orders.RunEvent(TASK.text, 1, 1, kind, detail, 1)
     message = orders.RunEvents("i-earlier", (event,))
     context.dispatch.apply_events(context.view, message, context.now_ms)
@@ -114,7 +113,7 @@
 
 
 class LeasedRunner:
-    """Answers looks, and remembers until when each renewed; its clock is the agent's."""
+    """Answers polls and records the end of each renewal; its clock is the agent's."""
 
     def __init__(self, timers, running=()):
         self.read_clock = timers.now_ms
@@ -127,14 +126,14 @@
 
 
 class FakeStream:
-    """Remembers what was sent."""
+    """Records the messages that were sent."""
 
     def __init__(self):
         self.sent = []
         self.send = self.sent.append
 
     def close(self):
-        """End nothing."""
+        """Do nothing."""
 
 
 def new_agent(context, running=()):
@@ -163,40 +162,40 @@
 
 
 def join(context):
-    """Let the entry join, and answer the greeting as entries do."""
+    """Connect the entry, and answer the greeting as an entry does."""
     context.link.stream = FakeStream()
     context.agent.links._greeted(context.link, OWNER)
 
 
 def echo(context):
-    """Let the owner echo the clock that it has just heard."""
+    """Have the owner echo the agent's present clock."""
     message = orders.BeatEcho(context.timers.now_ms(), True, False)
     context.agent.orders.take(context.link, message)
 
 
 def step(context):
-    """Let the keeper do what it does from one look to the next."""
+    """Run the controller from one poll to the next."""
     asyncio.run(context.controller._step())
 
 
-@given("a keeper of a runner that holds a run of an earlier life of the agent")
-def keeper_after_restart(context):
+@given("a controller of a runner that holds a run of an earlier incarnation of the agent")
+def controller_after_restart(context):
     new_agent(context, (RunningTask(RUN, 5),))
 
 
-@when("it looks twice")
-def look_twice(context):
-    for _ in range(3):  # the first call only learns the runner's clock
+@when("it polls twice")
+def poll_twice(context):
+    for _ in range(3):  # the first call only reads the runner's clock
         step(context)
 
 
-@when("it looks once")
-def look_once(context):
+@when("it polls once")
+def poll_once(context):
     step(context)
 
 
-@when("an entry joins, echoes the greeting's clock and adopts the run")
-def entry_adopts(context):
+@when("an entry joins, echoes the greeting's clock and claims the run")
+def entry_claims(context):
     join(context)
     echo(context)
     claim(context)
@@ -207,12 +206,12 @@
     context.agent.orders.take(context.link, orders.AdoptRuns("i-1", (row,)))
 
 
-@then("that look has renewed the lease by {time_ms:d} ms")
+@then("that poll has renewed the lease by {time_ms:d} ms")
 def renewed_by(context, time_ms):
     assert context.runner.renewals[-1] - context.timers.now_ms() == time_ms
 
 
-@then("no look has renewed the lease")
+@then("no poll has renewed the lease")
 def nothing_renewed(context):
     assert not any(context.runner.renewals), context.runner.renewals
 
@@ -234,7 +233,7 @@
 
 
 def let_time_pass(context, time_ms):
-    """Let the owner echo each beat, and the keeper look, which the runner always shows at work."""
+    """Have the owner echo each heartbeat, and the controller poll; the run stays at work."""
     for _ in range(0, time_ms, POLL_WAIT_MS):
         context.timers.time_ms += POLL_WAIT_MS
         echo(context)
@@ -260,7 +259,7 @@
     let_time_pass(context, 2_000)
 
 
-@when("its entry loses its lease, and greets with the name of a new life on the same stream")
+@when("its entry loses its lease, and greets with the name of a new incarnation on the same stream")
 def entry_renamed(context):
     context.timers.time_ms += BEAT_INTERVAL_MS + RESTART_ALLOWANCE_MS
     echo(context)
@@ -303,7 +302,7 @@
     assert context.runner.starts == 1, context.runner.starts
 
 
-@then("the run is over {time_ms:d} ms after its owner was heard on the earlier stream")
+@then("the run is over {time_ms:d} ms after its owner's last echo on the earlier stream")
 @then("the run is over {time_ms:d} ms after its stop")
 def over_in_time(context, time_ms):
     last_ms = max(context.runner.renewals)
@@ -313,15 +312,15 @@
 # Instances that are suspended.
 
 
-@when("the agent is suspended for {time_ms:d} ms and then looks once")
+@when("the agent is suspended for {time_ms:d} ms and then polls once")
 def suspended(context, time_ms):
     context.timers.suspend(time_ms)
     context.runner.renewals.clear()
     step(context)
 
 
-@then("the run has been stopped, and not been renewed since the agent woke")
-def stopped_at_once(context):
+@then("the run has been stopped, and not been renewed since the agent resumed")
+def stopped_on_resume(context):
     assert context.stops == [context.timers.now_ms()], context.stops
     assert not any(context.runner.renewals), context.runner.renewals
 
@@ -335,7 +334,7 @@
     claim(context)
 
 
-@then("that look has renewed the lease by at most {time_ms:d} ms on the runner's clock")
+@then("that poll has renewed the lease by at most {time_ms:d} ms on the runner's clock")
 def renewed_by_at_most(context, time_ms):
     assert 0 < context.runner.renewals[-1] - context.timers.awake_ms() <= time_ms
 
@@ -358,7 +357,7 @@
     assert not context.lease.valid
 
 
-@then("the clocks of a process count what they should")
+@then("one clock of a process counts suspended time, the other does not")
 def clocks_count(_context):
     with (
         patch("time.clock_gettime_ns", {time.CLOCK_BOOTTIME: 7_000_000_000}.get),
