--- a/features/run_ownership.feature
+++ b/features/run_ownership.feature
@@ -1,41 +1,43 @@
-Feature: who may start, stop and renew a run, when several things fail one after the other
-  No processes, the time is given.
+Feature: who may start, stop and renew a run after several faults in a row
+  The scenarios run without processes, in manual time.
 
-  # EntryOrders.rename_owner moves runs to the new name; Grants has no word under it until the next
-  # echo, so the run counts as unclaimed for longer than RESTART_ALLOWANCE_MS and is stopped.
-  Scenario: a run goes on when its owner gets another name after a lost lease
+  # EntryOrders.rename_owner moves runs to the new name. Without passing the last echo on, Grants has
+  # none under the new name until the next echo: the run counts as unclaimed for longer than
+  # RESTART_ALLOWANCE_MS and is stopped.
+  Scenario: a run goes on when its owner is renamed after a lost lease
     Given a run for a waiting caller, whose owner has just been heard
-    When 600 ms pass with echoes, and its owner is renamed and a look comes before the next echo
+    When 600 ms pass with echoes, and its owner is renamed and a poll comes before the next echo
     Then the run has not been stopped
 
-  # An entry whose lease was taken while its stream was down joins under the name of its next life.
-  # The agent stopped at once what ran under the former name, before the entry could claim it:
-  # callers waited for work that began anew. Such an entry can't be told by its greeting from one
-  # that has begun anew and knows nothing of the runs, so both have the same time to claim them.
+  # An entry that lost its lease while its stream was down joins under the name of its next
+  # incarnation. Agents stopped the runs under the former name at once, before the entry could claim
+  # them, and callers waited for tasks that began again. The greeting does not distinguish such an
+  # entry from a restarted one that does not know the runs, so both have the same time to claim them.
   Scenario: a run goes on when its owner was renamed while its stream was down, and claims it
     Given a run for a waiting caller, whose owner has just been heard
     When its stream ends, and the entry joins again under another name and claims the run
     Then the run has not been stopped
 
-  Scenario: a run that the next life of its entry does not claim is stopped soon after it has joined
+  Scenario: a run that the next incarnation of its entry does not claim is stopped soon after it has joined
     Given a run for a waiting caller, whose owner has just been heard
     When its stream ends, and the entry joins again under another name and claims nothing
     Then the run has been stopped 200 ms after the entry has joined
 
-  # The hold of a run that is to be stopped counts from the stop's arrival, not from the last word
-  # that came before it. The caller's pause counts from its leaving.
-  Scenario: a stop that comes late on its stream does not lengthen the hold
+  # Guards against counting the lease limit of a run that is to be stopped from the arrival of the stop
+  # instead of the last echo before it. The caller's pause counts from when the caller left.
+  Scenario: a stop that arrives late does not lengthen the lease of the run
     Given a run for a waiting caller, whose owner has just been heard
-    When its owner's stream delays all by 400 ms, a stop comes, and the runner leaves it unanswered
+    When its owner's stream is 400 ms late, a stop comes, and the runner leaves it unanswered
     Then the run is over 1150 ms after its owner's last echo on the earlier stream
 
-  # "If it receives no acknowledgement, it ends anyway, some seconds later."
-  Scenario: a runner that says that it ends holds its runs until they are proven over
+  # A runner that gets no acknowledgement of its deregistration ends some seconds later. A run that is
+  # reported as lost before that could run twice.
+  Scenario: the runs of a deregistered runner are not lost before they are proven over
     Given a run for a waiting caller, whose owner has just been heard
     When the runner deregisters, and the answer to that is lost
-    Then the run is not told as lost while its lease may run
+    Then the run is not reported as lost while its lease may last
 
-  Scenario Outline: a caller that returns to a job that is at work here is not told that it never runs
+  Scenario Outline: a caller that submits a job again that is at work here is not told that it never runs
     Given an entry at which a waiting job is at work, and that now is <state>
     When the caller sends the job again there
     Then it is not told that the job has not run
@@ -45,7 +47,7 @@
       | overloaded |
       | leaving    |
 
-  Scenario Outline: a caller that returns to a job that has ended here is not told that it has not run
+  Scenario Outline: a caller that submits a job again that has ended here is not told that it has not run
     Given an entry at which a waiting job has ended, and that now is <state>
     When the caller sends the job again there
     Then it is not told that the job has not run
@@ -55,63 +57,65 @@
       | overloaded |
       | leaving    |
 
-  # asyncio's timers count by the monotonic clock, which a suspension stops.
-  Scenario: an entry that was suspended starts nothing for a caller whose time is over
+  # asyncio's timers use the monotonic clock, which stops during a suspension, so a timer alone would
+  # fire too late.
+  Scenario: an entry that was suspended starts no run for a caller whose time is over
     Given an owner that sees one runner
     And the agent tells that it holds nothing
     And a caller that waits for 1000 ms for a job of 1 tasks
     When the entry is suspended for 5000 ms, gives up its agent, and the agent joins again
-    Then nothing is ordered for that caller any more
+    Then no run is ordered for that caller any more
 
-  # The identity of a run begins at 1 with each submission: at a runner that has ended attempt 1 of
-  # an earlier one, attempt 1 is rejected as "old", and its room stays taken for START_WINDOW_MS.
-  Scenario: a start that the runner rejects as old at its first call is told at once
+  # Attempts are numbered from 1 in each submission. A runner that has ended attempt 1 of an earlier
+  # submission rejects attempt 1 as "old"; if that is not reported at once, its room stays occupied
+  # for START_EXPIRY_MS.
+  Scenario: a start that the runner rejects as old at its first call is reported at once
     Given a run for a waiting caller, whose owner has just been heard
     When its first call is rejected as "old"
-    Then its owner is told at once that it was not started
+    Then its owner is notified at once that it was not started
 
-  Scenario: an order for a run that is in the ledger does not take room twice
+  Scenario: an order for a run that is in the ledger does not occupy room twice
     Given a run for a waiting caller, whose owner has just been heard
     When another entry orders the same run, and its end is listed
-    Then no room is taken
+    Then no room is occupied
 
-  # Until every run that a new life of an agent has found is claimed, nothing there is renewed: the
-  # lease is one for all. A run whose owner is gone lets the others lapse, stored ones as well: of a
-  # lease of 1,000 ms some 300 are left after a restart of 700 ms.
-  Scenario: a found run that nobody claims does not let those that are claimed lapse
-    Given a keeper of a runner that holds two runs of an earlier life, with 300 ms left of their lease
+  # A restarted agent does not renew the lease that all runs share until every present run is claimed
+  # or over. A run whose owner is gone would let the others lapse, durable ones as well: of a lease of
+  # 1,000 ms about 300 ms are left after a restart of 700 ms.
+  Scenario: an unclaimed run at a restarted agent does not let claimed runs lapse
+    Given a controller of a runner with two runs of an earlier incarnation and 300 ms of lease left
     When the owner of one of them claims it within 100 ms, and nobody claims the other
     Then the lease of the claimed run has been renewed before it ended
 
   Scenario: a caller whose time is over is told so soon after its entry was suspended
     Given a caller that waits for 1000 ms at an entry that is then suspended for 5000 ms
-    Then the entry knows within 300 ms after waking that the caller's time is over
+    Then the entry knows within 300 ms after resuming that the caller's time is over
 
-  # Any message counts as a sign of the entry, echoes alone renew the grant: with the way to the
-  # entry cut, the stream is kept while all that runs for the entry is stopped.
+  # Only echoes renew the grant. If any message counted as a sign of life, the stream would be kept
+  # while the way to the entry is cut, and all its runs would be stopped.
   Scenario: a stream on which the entry sends but echoes nothing is replaced before the grant ends
     Given a run for a waiting caller, whose owner has just been heard
-    When the entry sends its demand each 250 ms for 1500 ms, and echoes no beat
-    Then the stream was cut while the entry's grant still lasted
+    When the entry sends its demand each 250 ms for 1500 ms, and echoes no heartbeat
+    Then the stream was closed while the entry's grant still lasted
 
-  Scenario: a run that was seen at work is not told as never started
+  Scenario: a run that was seen at work is not reported as never started
     Given a run for a waiting caller, whose owner has just been heard
-    When its first call is left unanswered, a look shows it at work during the next, which is late
-    Then its owner is not told that it was not started
+    When its first call is left unanswered, a poll shows it at work during the next, which is late
+    Then its owner is not notified that it was not started
 
   Scenario: a run that was seen at work is not started again
     Given a run for a waiting caller, whose owner has just been heard
-    When its first call is left unanswered, and a look shows it at work meanwhile
-    Then it is not called for again
-    And its owner is not told that it was not started
-
-  # A lease is one for all at a runner and never shortens. An idle runner, or one with stored runs
-  # alone, is renewed by the whole lease; a run that starts there has that lease, whatever its
-  # owner's word allows. Only the agent's stop bounds it then, not the runner.
-  Scenario Outline: a run does not get more of a lease than its owner's word allows
-    Given an idle runner that grants leases of <lease_ms> ms and was looked at just now
+    When its first call is left unanswered, and a poll shows it at work meanwhile
+    Then the start is not called again
+    And its owner is not notified that it was not started
+
+  # All runs at a runner share one lease, which is never shortened. Agents renewed an idle runner, or
+  # one with durable runs only, by a whole lease. A run that started there had that lease, whatever
+  # its owner's last echo allowed, so that only the agent's stop could end it in time.
+  Scenario Outline: a run does not get a longer lease than its owner's last echo allows
+    Given an idle runner that grants leases of <lease_ms> ms and was polled just now
     When an order for a waiting caller comes whose clock is <age_ms> ms old, and then nothing more
-    Then the runner ends that run by itself 1150 ms after its owner's word
+    Then the runner ends that run by itself 1150 ms after its owner's last echo
 
     Examples:
       | lease_ms | age_ms |
@@ -119,52 +123,52 @@
       | 1000     | 600    |
       | 2000     | 0      |
 
-  # Ends of runs for waiting callers are let go at the runner at once, whether their owner has heard
-  # of them or not. One that came while the stream was down, or was sent just before it failed, was
-  # never told: the owner found the run missing among the holdings and had the task done again. The
-  # agent now tells it once more when the same entry joins.
-  Scenario: what was done while a stream was down is told on the next one
+  # The agent acknowledges ends of non-durable runs at the runner at once, whether their owner has
+  # received them or not. An end that came while the stream was down, or just before it failed, was
+  # lost: the owner found the run missing in the holdings and started the task again. The agent now
+  # sends such ends again when the same entry joins.
+  Scenario: the end of a run that came while a stream was down is sent on the next one
     Given a run for a waiting caller, whose owner has just been heard
     When its stream ends, the run ends as done, and the same owner joins again 200 ms later
-    Then its owner is told on the new stream that it is done
+    Then its owner is notified on the new stream that it is done
 
-  Scenario: an owner that is told once more of an end does not start the task again
+  Scenario: an owner that receives an end again does not start the task again
     Given an owner that sees one runner
     And the agent tells that it holds nothing
     And a job of 2 tasks whose caller waits
     When one of them ends as done, and the agent joins again and holds only that end
-    Then only the other task is placed anew
+    Then only the other task is placed again
 
-  Scenario: an end is not told once more after its owner has given the run up
+  Scenario: an end is not sent again after its owner has given the run up
     Given a run for a waiting caller, whose owner has just been heard
     When its stream ends, the run ends as done, and the same owner joins again 2200 ms later
-    Then its owner is not told of that end
+    Then its owner is not notified of that end
 
-  # The lease of an idle runner is not renewed. A start there was given the nothing that was left of it
-  # as its expiry: 12,932 starts of one task were rejected as "late" within 12 s until one was fast
-  # enough ({"event":"start_rejected","reason":"late"}, 1 ms apart).
-  Scenario: a start at an idle runner has a whole window to take effect
-    Given an idle runner that grants leases of 1000 ms and was looked at just now
+  # The lease of an idle runner is not renewed. A start there expired with the little that was left of
+  # the lease: 12,932 starts of one task were rejected as "late" within 12 s until one was fast enough
+  # ({"event":"start_rejected","reason":"late"}, 1 ms apart).
+  Scenario: a start at an idle runner has its whole time to take effect
+    Given an idle runner that grants leases of 1000 ms and was polled just now
     When an order for a waiting caller comes whose clock is 0 ms old, and then nothing more
     Then its start may take effect for 700 ms
 
-  # An entry stood still for 4.6 s. It read a request that had come meanwhile when it woke, and counted
-  # the time for which the caller waits from then on: the caller gave up 2,937 ms after its sending,
-  # without closing its connection, and its job, sent again elsewhere 1.3 s later, ran beside the first
-  # for up to 317 ms (soak, seed 1003). The lines are a job_submitted within 10 ms of the entry's first
-  # line after a gap, and {"event":"caller_gone","reason":"waited_out"} too late.
-  Scenario: a caller's time begins when its request may have come, not when a paused entry reads it
-    Given an entry that has stood still for 2000 ms
+  # An entry was paused for 4.6 s. When it resumed, it read a request that had arrived meanwhile and
+  # counted the caller's waiting time from then. The caller gave up 2,937 ms after its request, without
+  # closing its connection, and its job, sent again elsewhere 1.3 s later, ran beside the first for up
+  # to 317 ms (soak, seed 1003). The log shows a job_submitted within 10 ms of the entry's first line
+  # after a gap, and {"event":"caller_gone","reason":"waited_out"} too late.
+  Scenario: a caller's time begins when its request may have arrived, not when a paused entry reads it
+    Given an entry that was paused for 2000 ms
     When it reads a request of a caller that waits for 2500 ms, and 600 ms pass
     Then the caller's time is over
 
-  Scenario: a caller whose entry has not stood still has its whole time
-    Given an entry that has stood still for 100 ms
+  Scenario: a caller whose entry was not paused has its whole time
+    Given an entry that was paused for 100 ms
     When it reads a request of a caller that waits for 2500 ms, and 600 ms pass
     Then the caller's time is not over
 
-  # A runner at which an earlier submission's run is still at work rejects the next one's as "old". It
-  # was placed there again at once: 209 times in 0.3 s (soak, seed 1003).
+  # A runner at which a run of an earlier submission is still at work rejects the run of the next one
+  # as "old". The task was placed there again at once: 209 times in 0.3 s (soak, seed 1003).
   Scenario: a task that a runner has rejected is placed elsewhere
     Given an owner that sees one runner
     And the agent tells that it holds nothing
--- a/features/steps/run_ownership_steps.py
+++ b/features/steps/run_ownership_steps.py
@@ -36,7 +36,7 @@
 ).encode()
 
 
-@when("600 ms pass with echoes, and its owner is renamed and a look comes before the next echo")
+@when("600 ms pass with echoes, and its owner is renamed and a poll comes before the next echo")
 def renamed(context):
     base.let_time_pass(context, 600)
     context.agent.links._greeted(context.link, RENAMED)
@@ -47,37 +47,37 @@
 
 
 def join_renamed(context):
-    """Let the entry join under another name; what is planned then is called when its time comes."""
+    """Connect the entry under another name; return the callbacks that are scheduled meanwhile."""
     context.agent.links._end_stream(context.link)
     context.timers.time_ms += 200
     context.link.stream = base.FakeStream()
-    planned = []
-    with patch.object(context.timers, "call_after", lambda *plan: planned.append(plan)):
+    scheduled = []
+    with patch.object(context.timers, "call_after", lambda *plan: scheduled.append(plan)):
         context.agent.links._greeted(context.link, RENAMED)
     base.echo(context)
-    return planned
+    return scheduled
 
 
-def let_planned_come(context, planned):
-    for delay_ms, callback in planned:
+def run_scheduled(context, scheduled):
+    for delay_ms, callback in scheduled:
         context.timers.time_ms += delay_ms
         callback()
 
 
 @when("its stream ends, and the entry joins again under another name and claims the run")
 def rejoined_renamed(context):
-    planned = join_renamed(context)
+    scheduled = join_renamed(context)
     base.claim(context)
-    let_planned_come(context, planned)
+    run_scheduled(context, scheduled)
     base.let_time_pass(context, 600)
 
 
 @when("its stream ends, and the entry joins again under another name and claims nothing")
 def rejoined_unclaimed(context):
-    planned = join_renamed(context)
+    scheduled = join_renamed(context)
     context.joined_ms = context.timers.now_ms()
     assert not context.stops, context.stops
-    let_planned_come(context, planned)
+    run_scheduled(context, scheduled)
 
 
 @then("the run has been stopped {time_ms:d} ms after the entry has joined")
@@ -85,7 +85,7 @@
     assert context.stops == [context.joined_ms + time_ms], (context.stops, context.joined_ms)
 
 
-@when("its owner's stream delays all by 400 ms, a stop comes, and the runner leaves it unanswered")
+@when("its owner's stream is 400 ms late, a stop comes, and the runner leaves it unanswered")
 def late_stop(context):
     def echo_late():
         message = orders.BeatEcho(context.timers.now_ms() - 400, True, False)
@@ -111,11 +111,11 @@
     context.agent.runners.handle(request)
 
 
-@then("the run is not told as lost while its lease may run")
-def not_told_lost(context):
+@then("the run is not reported as lost while its lease may last")
+def not_reported_lost(context):
     left_ms = max(context.runner.renewals) - context.timers.now_ms()
-    told = [m for m in context.link.stream.sent if isinstance(m, orders.RunEvents)]
-    kinds = [event.kind for message in told for event in message.events]
+    messages = [m for m in context.link.stream.sent if isinstance(m, orders.RunEvents)]
+    kinds = [event.kind for message in messages for event in message.events]
     assert orders.LOST not in kinds or left_ms <= 0, (kinds, left_ms)
 
 
@@ -195,7 +195,7 @@
         context.now_ms = timers.now_ms()
         context.outside.sent.clear()
         context.dispatch.expire_silent(context.now_ms)
-        await asyncio.sleep(0.2)  # the entry has been awake for 200 ms
+        await asyncio.sleep(0.2)  # the entry has run for 200 ms since it resumed
         join(context)
         hold_nothing(context)
         asking.cancel()
@@ -203,7 +203,7 @@
     asyncio.run(run())
 
 
-@then("nothing is ordered for that caller any more")
+@then("no run is ordered for that caller any more")
 def nothing_ordered(context):
     sent = [m for m in context.outside.sent if isinstance(m, orders.StartOrder)]
     assert not sent, (sent, context.log.events)
@@ -222,16 +222,16 @@
     asyncio.run(context.controller.starts._start(run, "{}", run.start_expires_ms))
 
 
-@then("its owner is told at once that it was not started")
-def told_not_started(context):
-    told = [m for m in context.link.stream.sent if isinstance(m, orders.RunEvents)]
-    kinds = [event.kind for message in told for event in message.events]
+@then("its owner is notified at once that it was not started")
+def notified_not_started(context):
+    messages = [m for m in context.link.stream.sent if isinstance(m, orders.RunEvents)]
+    kinds = [event.kind for message in messages for event in message.events]
     context.runner.running = ()
     began_ms = context.timers.now_ms()
     while orders.NOT_STARTED not in kinds and context.timers.now_ms() < began_ms + 3_000:
         base.let_time_pass(context, 200)
-        told = [m for m in context.link.stream.sent if isinstance(m, orders.RunEvents)]
-        kinds = [event.kind for message in told for event in message.events]
+        messages = [m for m in context.link.stream.sent if isinstance(m, orders.RunEvents)]
+        kinds = [event.kind for message in messages for event in message.events]
     assert context.timers.now_ms() == began_ms, (kinds, context.timers.now_ms() - began_ms)
 
 
@@ -249,7 +249,7 @@
     context.controller._apply_snapshot(poll)
 
 
-@then("no room is taken")
+@then("no room is occupied")
 def no_room_taken(context):
     ledger = context.controller.ledger
     assert not ledger.runs
@@ -264,10 +264,8 @@
 OTHER_RUN = RunKey(TaskName("00000000000000f9", 0, 0, 0), 1)
 
 
-@given(
-    "a keeper of a runner that holds two runs of an earlier life, with 300 ms left of their lease"
-)
-def two_found(context):
+@given("a controller of a runner with two runs of an earlier incarnation and 300 ms of lease left")
+def two_present(context):
     base.new_agent(context, (RunningTask(RUN, 5), RunningTask(OTHER_RUN, 5)))
     context.lease_ends_ms = context.timers.now_ms() + 300
 
@@ -310,20 +308,20 @@
         asking = asyncio.ensure_future(callers.run(JOB, QUEUE, "{}", steps, caller))
         await asyncio.sleep(0)
         timers.suspend(5_000)
-        callers.tick()  # the entry's tick after it wakes
+        callers.tick()  # the first tick after the entry has resumed
         done, _ = await asyncio.wait({asking}, timeout=0.3)
-        context.is_told = bool(done)
+        context.is_answered = bool(done)
         asking.cancel()
 
     asyncio.run(run())
 
 
-@then("the entry knows within 300 ms after waking that the caller's time is over")
+@then("the entry knows within 300 ms after resuming that the caller's time is over")
 def knows_over(context):
-    assert context.is_told, context.log.events
+    assert context.is_answered, context.log.events
 
 
-@when("the entry sends its demand each 250 ms for 1500 ms, and echoes no beat")
+@when("the entry sends its demand each 250 ms for 1500 ms, and echoes no heartbeat")
 def demand_only(context):
     links, timers = context.agent.links, context.timers
     context.cut_ms = None
@@ -360,31 +358,31 @@
     asyncio.run(serve())
 
 
-@then("the stream was cut while the entry's grant still lasted")
+@then("the stream was closed while the entry's grant still lasted")
 def cut_in_time(context):
     assert context.cut_ms is not None, (context.cut_ms, context.until_ms)
     assert context.cut_ms < context.until_ms, (context.cut_ms, context.until_ms)
 
 
-@when("its first call is left unanswered, a look shows it at work during the next, which is late")
+@when("its first call is left unanswered, a poll shows it at work during the next, which is late")
 def late_after_start(context):
     assert call_start(context, shown_at=2) == 2
 
 
-@when("its first call is left unanswered, and a look shows it at work meanwhile")
+@when("its first call is left unanswered, and a poll shows it at work meanwhile")
 def shown_after_start(context):
     context.calls = call_start(context, shown_at=1)
 
 
-@then("it is not called for again")
+@then("the start is not called again")
 def not_called_again(context):
     assert context.calls == 1, context.calls
 
 
 def call_start(context, shown_at):
-    """Start a run whose first call is unanswered, the next late; return how many calls it took.
+    """Start a run with an unanswered first call and a late second; return the number of calls.
 
-    During one of them a look shows it at work.
+    During call ``shown_at``, a poll shows the run at work.
     """
     (run,) = context.runs
     run.phase, run.calling = orders.HELD_STARTING, True
@@ -406,14 +404,14 @@
     return len(calls)
 
 
-@then("its owner is not told that it was not started")
-def not_told_not_started(context):
-    told = [m for m in context.link.stream.sent if isinstance(m, orders.RunEvents)]
-    kinds = [event.kind for message in told for event in message.events]
+@then("its owner is not notified that it was not started")
+def not_notified_not_started(context):
+    messages = [m for m in context.link.stream.sent if isinstance(m, orders.RunEvents)]
+    kinds = [event.kind for message in messages for event in message.events]
     assert orders.NOT_STARTED not in kinds, kinds
 
 
-@given("an idle runner that grants leases of {lease_ms:d} ms and was looked at just now")
+@given("an idle runner that grants leases of {lease_ms:d} ms and was polled just now")
 def idle_runner(context, lease_ms):
     base.new_agent(context)
     context.controller._context.run_lease_ms = lease_ms
@@ -440,7 +438,7 @@
     assert time_ms * CLOCK_RATE_FLOOR - 1 <= left_ms <= time_ms, left_ms
 
 
-@then("the runner ends that run by itself {time_ms:d} ms after its owner's word")
+@then("the runner ends that run by itself {time_ms:d} ms after its owner's last echo")
 def ends_by_itself(context, time_ms):
     ends_ms = max([*context.runner.renewals, context.runs[0].start_expires_ms])
     assert ends_ms - context.last_echo_ms <= time_ms, ends_ms - context.last_echo_ms
@@ -456,25 +454,25 @@
     base.join(context)
 
 
-def told_details(context):
+def sent_details(context):
     sent = context.link.stream.sent
     held = [row for m in sent if isinstance(m, orders.Holdings) for row in m.runs]
-    told = [event for m in sent if isinstance(m, orders.RunEvents) for event in m.events]
-    return [one.detail for one in [*held, *told]]
+    reported = [event for m in sent if isinstance(m, orders.RunEvents) for event in m.events]
+    return [one.detail for one in [*held, *reported]]
 
 
-@then("its owner is told on the new stream that it is done")
-def told_done(context):
-    assert RunEnd.DONE.value in told_details(context), told_details(context)
+@then("its owner is notified on the new stream that it is done")
+def sent_done(context):
+    assert RunEnd.DONE.value in sent_details(context), sent_details(context)
 
 
-@then("its owner is not told of that end")
-def end_not_told(context):
-    assert RunEnd.DONE.value not in told_details(context), told_details(context)
+@then("its owner is not notified of that end")
+def end_not_sent(context):
+    assert RunEnd.DONE.value not in sent_details(context), sent_details(context)
 
 
 @when("one of them ends as done, and the agent joins again and holds only that end")
-def end_told_again(context):
+def end_sent_again(context):
     (order,) = (m for m in context.outside.sent if isinstance(m, orders.StartOrder))
     done, context.other = (order.key_of(row) for row in order.runs)
     task, kind = done.task.text, orders.ENDED
@@ -489,14 +487,14 @@
     context.dispatch.placer.place_waiting(context.now_ms)
 
 
-@then("only the other task is placed anew")
+@then("only the other task is placed again")
 def other_placed(context):
     sent = [m for m in context.outside.sent if isinstance(m, orders.StartOrder)]
     names = [order.key_of(row).task for order in sent for row in order.runs]
     assert names == [context.other.task], names
 
 
-@given("an entry that has stood still for {time_ms:d} ms")
+@given("an entry that was paused for {time_ms:d} ms")
 def stood_still(context, time_ms):
     context.timers, context.log = ManualTimers(), FakeLog()
     context.callers = WaitingCallers(FakeDispatch(), FakeLease(), context.timers, context.log)
