--- a/features/lost_answers.feature
+++ b/features/lost_answers.feature
@@ -57,7 +57,7 @@
     When 40 runs of 110 ms end there one after the other
     Then each end is reported once, and no run is left there
 
-  Scenario: no longer lease is asked for while several polls are pending
+  Scenario: several pending polls do not ask for a longer lease than one
     Given a controller of a runner that loses every second answer
     When its owner sends no echo for 2000 ms
     Then no lease was asked for beyond 1150 ms after the owner's last echo
--- a/src/gapdrum/agent/entry_orders.py
+++ b/src/gapdrum/agent/entry_orders.py
@@ -1,4 +1,4 @@
-"""Handles the messages of entries: starts, stops, claims, adoptions and acknowledged ends."""
+"""Handles the messages of entries: starts, stops, claims, adoptions and stored ends."""
 
 from collections import OrderedDict
 from collections.abc import Callable, Mapping
--- a/src/gapdrum/agent/run_launcher.py
+++ b/src/gapdrum/agent/run_launcher.py
@@ -13,7 +13,7 @@
 START_TIMEOUT_MS = 120
 STOP_TIMEOUT_MS = 150
 STOP_REPEAT_MS = STOP_TIMEOUT_MS
-# An unanswered start may take effect for so long, and occupies its room until then.
+# For how long an unanswered start may still take effect; it occupies its room until then.
 START_EXPIRY_MS = 700
 # Backoff between calls to the runner: a retry after a lost answer is cheap, but a runner that
 # resets every connection must not be flooded with new ones.
--- a/src/gapdrum/agent/runner_context.py
+++ b/src/gapdrum/agent/runner_context.py
@@ -86,9 +86,9 @@
     def renewal_ms(self, now_ms: int) -> int:
         """Return the duration to renew the lease by: a full lease, less if an owner is silent.
 
-        It is 0 or less, for no renewal, while the lease must lapse, before the first poll, once
-        the runner has deregistered, and while the runner is idle, because the next run would get
-        whatever lease is present.
+        It is 0 or less, for no renewal, while the lease must lapse, before the first poll, while
+        the owner of a run is unknown, once the runner has deregistered, and while the runner is
+        idle, because the next run would get whatever lease is present.
         """
         ledger = self.ledger
         if ledger.awaits_lapse() or ledger.leaving or not ledger.polled:
