--- a/src/gapdrum/core/dispatch.py
+++ b/src/gapdrum/core/dispatch.py
@@ -1,4 +1,4 @@
-"""The owner of jobs: what ends and events of their runs mean."""
+"""The owner of jobs: applies what agents report of runners and runs to the jobs."""
 
 import random
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 
 @attrs.define
 class Dispatch:
-    """The jobs of this entry, and the runs that agents tell of. The time is given."""
+    """The state of this entry's jobs and of their runs. Callers pass the time."""
 
     effects: Effects
     jobs: dict[str, Job]
@@ -26,20 +26,20 @@
 
     @property
     def durations(self) -> TaskDurations:
-        """Return how long the tasks of each queue take."""
+        """Return the duration statistics of each queue's tasks."""
         return self.placer.durations
 
     # Jobs.
 
     def add_job(self, job: Job, now_ms: int) -> None:
-        """Take a job over as its owner, and place what can be placed."""
+        """Own a new job, or one that was taken over, and schedule its placement."""
         self.jobs[job.job_id] = job
         self.placer.enqueue(job)
         self._check_outcome(job)
         self.effects.schedule_placement()
 
     def drop_job(self, job_id: str, reason: str) -> Job | None:
-        """Let go of a job that is another's or has ended; its runs are stopped or another's."""
+        """Forget a job that has ended or has a new owner; send no stop orders for its runs."""
         job = self.jobs.pop(job_id, None)
         self.placer.waiting.discard(job_id)
         if job is not None:
@@ -49,12 +49,12 @@
         return job
 
     def stop_runs(self, job: Job) -> None:
-        """Stop all that runs of a job that has come to its end."""
+        """Stop all active runs of a job that has ended."""
         for task in list(job.active_tasks()):
             self._stop(task.place, task.run)
 
     def count_waiting(self) -> dict[str, int]:
-        """Return how many jobs of each queue have not begun."""
+        """Return how many open jobs of each queue have not begun."""
         counts: dict[str, int] = {}
         for job in self.jobs.values():
             if not job.begun and job.ending is None:
@@ -62,7 +62,7 @@
         return counts
 
     def refuse_unmeetable(self, now_ms: int) -> None:
-        """Give up waiting jobs that no longer can meet their objective and have not begun."""
+        """Refuse unstarted jobs that can no longer meet their latency objective."""
         for job in self.placer.list_unmeetable(now_ms):
             self.effects.note(
                 "job_given_up",
@@ -79,34 +79,34 @@
     # Runners.
 
     def apply_report(self, view: AgentView, report: orders.RunnerReport, now_ms: int) -> None:
-        """Take what a runner is, and its state."""
+        """Apply a report of a runner's properties and state."""
         lost = self.fleet.apply_report(view, report, now_ms)
         if lost is not None:
             self._release_lost(lost, now_ms)
         self.effects.schedule_placement()
 
     def apply_room(self, view: AgentView, report: orders.RoomReport) -> None:
-        """Take a runner's free room."""
+        """Apply a report of a runner's free room."""
         self.fleet.apply_room(view, report)
         self.effects.schedule_placement()
 
     def expire_silent(self, now_ms: int) -> None:
-        """Place anew what was placed where nothing runs any more."""
+        """Requeue the tasks of runners that were silent until no run can be left there."""
         for lost in self.fleet.expire_silent(now_ms):
             self._release_lost(lost, now_ms)
 
     def agent_departed(self, view: AgentView, now_ms: int) -> None:
-        """Place anew what was sent to an agent that had decided to leave before it came."""
+        """Requeue tasks whose orders reached an agent after its decision to leave."""
         for lost in self.fleet.agent_departed(view):
             self._release_lost(lost, now_ms)
         self.effects.schedule_placement()
 
     def _release_lost(self, lost: LostRunner, now_ms: int) -> None:
         for task in lost.tasks:
-            self._release_unproven(task, lost.reason, now_ms)
+            self._release_unconfirmed(task, lost.reason, now_ms)
 
-    def _release_unproven(self, task: Task, reason: str, now_ms: int) -> None:
-        """Let a task wait again whose last run is over, and may have begun."""
+    def _release_unconfirmed(self, task: Task, reason: str, now_ms: int) -> None:
+        """Requeue a task whose last run is over; the run may have begun."""
         job = self.jobs.get(task.name.job_id)
         if job is not None:
             job.begun = True
@@ -115,13 +115,13 @@
     # Runs.
 
     def apply_events(self, view: AgentView, message: orders.RunEvents, now_ms: int) -> None:
-        """Take what happened to runs."""
+        """Apply events of runs at one runner."""
         place = Place(view.agent, message.runner_id)
         for event in message.events:
-            self._take_event(view, place, event, now_ms)
+            self._apply_event(view, place, event, now_ms)
         self.effects.schedule_placement()
 
-    def _take_event(
+    def _apply_event(
         self, view: AgentView, place: Place, event: orders.RunEvent, now_ms: int
     ) -> None:
         name = TaskName.parse(event.task)
@@ -134,20 +134,20 @@
         if task is None:
             return
         if not job.owns_run(task, event.attempt, place, event.submission, view.incarnation):
-            self._pass_over(place, event)
+            self._ignore_event(place, event)
         elif event.kind == orders.ENDED:
-            self._take_end(job, task, place, event, now_ms)
+            self._apply_end(job, task, place, event, now_ms)
         elif event.attempt != task.attempt:
             return
         elif event.kind == orders.STARTED:
-            self._note_started(job, task, now_ms)
+            self._mark_started(job, task, now_ms)
         elif event.kind == orders.STRAGGLING:
-            self._note_started(job, task, now_ms)
-            self._move(job, task, event, now_ms)
+            self._mark_started(job, task, now_ms)
+            self._handle_straggler(job, task, event, now_ms)
         elif event.detail == orders.JOB_SUPERSEDED:
             self.drop_job(job.job_id, event.detail)
         elif event.kind == orders.NOT_STARTED:
-            # An end under its name there is of an earlier submission.
+            # This attempt never ran here: an end with its name belongs to an earlier submission.
             task.place_by_attempt.pop(event.attempt, None)
             if event.detail in orders.REJECTED_THERE:
                 task.avoided.add(place.runner_id)
@@ -156,10 +156,10 @@
             job.begun = True
             self.placer.release(job, task, event.detail, now_ms)
 
-    def _pass_over(self, place: Place, event: orders.RunEvent) -> None:
-        """Pass over a run of an earlier submission: taken for the present one it would start twice.
+    def _ignore_event(self, place: Place, event: orders.RunEvent) -> None:
+        """Ignore an event of an earlier submission: counted for this one, the task could run twice.
 
-        Its end, which no owner asks for any more, need not be kept at the runner.
+        No owner needs the run's end any more, so the runner may forget it.
         """
         self.effects.note(
             "event_of_earlier_submission",
@@ -174,19 +174,19 @@
             self.effects.on_unowned_end(place, event)
 
     def drop_claimed_job(self, lost: orders.JobLost) -> None:
-        """Let go of a job that another entry has claimed."""
+        """Forget a job that another entry has claimed under a higher epoch."""
         job = self.jobs.get(lost.job_id)
         if job is not None and job.epoch < lost.epoch:
             self.drop_job(lost.job_id, "claimed_by_another")
 
     def cancel_job(self, cancelled: orders.JobCancelled) -> None:
-        """Stop a job that was cancelled at another entry, which has stored its end."""
+        """Stop a job that was cancelled at another entry, which has stored its final state."""
         job = self.jobs.get(cancelled.job_id)
         if job is not None and job.epoch < cancelled.epoch:
             self.stop_runs(job)
             self.drop_job(cancelled.job_id, "cancelled_elsewhere")
 
-    def _note_started(self, job: Job, task: Task, now_ms: int) -> None:
+    def _mark_started(self, job: Job, task: Task, now_ms: int) -> None:
         if task.phase is TaskPhase.ORDERED:
             task.phase = TaskPhase.RUNNING
             task.started_ms = now_ms
@@ -199,7 +199,7 @@
                 runner=task.place.runner_id,
             )
 
-    def _take_end(
+    def _apply_end(
         self, job: Job, task: Task, place: Place, event: orders.RunEvent, now_ms: int
     ) -> None:
         end = RunEnd(event.detail)
@@ -214,12 +214,12 @@
         )
         if event.attempt != task.attempt and end is RunEnd.DONE:
             if job.durable:
-                self._let_go_outrun(place, event.end_number)
+                self._acknowledge_superseded_end(place, event.end_number)
                 return
-            self._stop_if_out(task)
+            self._stop_if_active(task)
         job.begun = True
         if end is RunEnd.DONE and event.attempt == task.attempt and task.started_ms:
-            self._note_duration(job, task, now_ms)
+            self._record_duration(job, task, now_ms)
         if task.phase is not TaskPhase.DONE:
             if end is RunEnd.DONE or event.attempt == task.attempt:
                 self.fleet.unassign(task)
@@ -227,33 +227,33 @@
                 task.avoided.add(place.runner_id)
             job.record_end(task, event.attempt, end, now_ms)
         if job.durable and end in (RunEnd.DONE, RunEnd.FAILED):
-            self._remember_end(job, StoredEnd(place, event.end_number))
+            self._add_unstored_end(job, StoredEnd(place, event.end_number))
             job.progress_dirty_ms = job.progress_dirty_ms or now_ms
         if job.has_waiting_tasks:
             self.placer.enqueue(job)
         self._check_outcome(job)
 
-    def _note_duration(self, job: Job, task: Task, now_ms: int) -> None:
-        """Learn how long tasks of the queue take, if it is known what was expected."""
+    def _record_duration(self, job: Job, task: Task, now_ms: int) -> None:
+        """Add a run to the queue's duration statistics if the runner's slowness is known."""
         if task.slowness:
             ran_ms = now_ms - task.started_ms
             slowness_permille = int(task.slowness * PERMILLE)
             self.durations.note(job.queue, ran_ms, task.step.estimate_ms, slowness_permille)
 
     @staticmethod
-    def _remember_end(job: Job, end: StoredEnd) -> None:
+    def _add_unstored_end(job: Job, end: StoredEnd) -> None:
         if end not in job.unstored_ends:
             job.unstored_ends.append(end)
 
     def acknowledge_ends(self, place: Place, numbers: tuple[int, ...]) -> None:
-        """Tell an agent that ends need not be kept at the runner."""
+        """Tell an agent that its runner may forget ends, by their numbers."""
         self.effects.send(place.agent, orders.EndsStored(place.runner_id, numbers, ()))
 
-    def _let_go_outrun(self, place: Place, number: int) -> None:
+    def _acknowledge_superseded_end(self, place: Place, number: int) -> None:
         self.effects.send(place.agent, orders.EndsStored(place.runner_id, (), (number,)))
 
     def acknowledge_stored_ends(self, job: Job, ends: list[StoredEnd]) -> None:
-        """Tell the agents that ends of a job are stored."""
+        """Tell the agents that ends of a job are stored and may be forgotten."""
         by_place: dict[Place, list[int]] = {}
         for end in ends:
             by_place.setdefault(end.place, []).append(end.number)
@@ -261,9 +261,9 @@
             self.acknowledge_ends(place, tuple(numbers))
         job.unstored_ends = [end for end in job.unstored_ends if end not in ends]
 
-    def _move(self, job: Job, task: Task, event: orders.RunEvent, now_ms: int) -> None:
-        """Stop a run that straggles, so that it is placed anew, if that is likely to help."""
-        verdict = self.placer.judge_straggler(job, task, event, now_ms)
+    def _handle_straggler(self, job: Job, task: Task, event: orders.RunEvent, now_ms: int) -> None:
+        """Stop a straggling run if its task is expected to end sooner on another runner."""
+        decision = self.placer.judge_straggler(job, task, event, now_ms)
         self.effects.note(
             "task_straggles",
             request=job.job_id,
@@ -272,15 +272,15 @@
             runner=task.place.runner_id,
             reason=event.detail,
             percent=event.percent,
-            moved=verdict.moved,
-            ends_here_ms=verdict.ends_here_ms,
-            ends_elsewhere_ms=verdict.ends_elsewhere_ms,
+            moved=decision.moved,
+            ends_here_ms=decision.ends_here_ms,
+            ends_elsewhere_ms=decision.ends_elsewhere_ms,
             others_permille=event.others_permille,
         )
-        if verdict.moved:
+        if decision.moved:
             self._stop(task.place, task.run)
 
-    def _stop_if_out(self, task: Task) -> None:
+    def _stop_if_active(self, task: Task) -> None:
         if task.phase in (TaskPhase.ORDERED, TaskPhase.RUNNING):
             self._stop(task.place, task.run)
 
@@ -295,17 +295,17 @@
             runner=place.runner_id,
         )
 
-    # What agents hold.
+    # Runs that agents hold.
 
     def apply_holdings(self, view: AgentView, holdings: orders.Holdings, now_ms: int) -> None:
-        """Compare what an agent holds with what is expected there."""
+        """Reconcile the runs that an agent holds with those that are expected there."""
         place = Place(view.agent, holdings.runner_id)
         held = set()
         adopted = []
         for row in holdings.runs:
-            if self._is_present(view, place, row):
+            if self._is_current(view, place, row):
                 held.add((row.task, row.attempt))
-            adopted.extend(self._take_held(view, place, row, now_ms))
+            adopted.extend(self._apply_held_run(view, place, row, now_ms))
         if adopted:
             message = orders.AdoptRuns(holdings.runner_id, tuple(adopted))
             self.effects.send(view.agent, message)
@@ -313,11 +313,11 @@
         if runner is not None and not holdings.jobs:
             for task in list(runner.out):
                 if (task.name.text, task.attempt) not in held:
-                    self._release_unproven(task, "not_held", now_ms)
+                    self._release_unconfirmed(task, "not_held", now_ms)
             runner.synced = True
         self.effects.schedule_placement()
 
-    def _take_held(
+    def _apply_held_run(
         self, view: AgentView, place: Place, row: orders.HeldRun, now_ms: int
     ) -> list[orders.AdoptedRun]:
         name = TaskName.parse(row.task)
@@ -325,8 +325,8 @@
         task = job.by_name.get(name) if job is not None else None
         if row.phase == orders.HELD_ENDED:
             if job is not None:
-                self._take_held_end(view, place, row, task, now_ms)
-            # Else its owner hears of it as well, or the agent asks after it later.
+                self._apply_held_end(view, place, row, task, now_ms)
+            # An unowned end needs nothing here: its owner is told too, or the agent sends it later.
             return []
         if task is None:
             if self.effects.has_ended(name.job_id):
@@ -335,10 +335,10 @@
         if not self._is_expected(task, place, row):
             self._stop(place, RunKey(name, row.attempt))
             return []
-        self._place_at(job, task, place, row.attempt, now_ms)
-        return [_adopt(job, task, row)]
+        self._record_held_run(job, task, place, row.attempt, now_ms)
+        return [_build_adopted_run(job, task, row)]
 
-    def _take_held_end(
+    def _apply_held_end(
         self, view: AgentView, place: Place, row: orders.HeldRun, task: Task | None, now_ms: int
     ) -> None:
         if task is not None and task.phase is TaskPhase.UNKNOWN:
@@ -352,12 +352,12 @@
             row.end_number,
             submission=row.submission,
         )
-        self._take_event(view, place, event, now_ms)
+        self._apply_event(view, place, event, now_ms)
 
-    def _is_present(self, view: AgentView, place: Place, row: orders.HeldRun) -> bool:
-        """Tell whether a row is of the present submission of its job, as far as is known.
+    def _is_current(self, view: AgentView, place: Place, row: orders.HeldRun) -> bool:
+        """Tell whether a row is of the job's current submission, as far as is known.
 
-        A run at work counts in any case: an earlier submission's must end before it runs anew.
+        A run that has not ended always counts: a task must not run anew beside an earlier run.
         """
         name = TaskName.parse(row.task)
         job = self.jobs.get(name.job_id)
@@ -375,7 +375,9 @@
         same_runner = task.place.runner_id == place.runner_id
         return same_runner and task.attempt == row.attempt
 
-    def _place_at(self, job: Job, task: Task, place: Place, attempt: int, now_ms: int) -> None:
+    def _record_held_run(
+        self, job: Job, task: Task, place: Place, attempt: int, now_ms: int
+    ) -> None:
         if task.phase is TaskPhase.UNKNOWN:
             self.effects.note(
                 "task_adopted",
@@ -394,7 +396,7 @@
             runner.out.add(task)
 
     def requeue_unknown_tasks(self, now_ms: int) -> None:
-        """Let tasks of taken-over jobs wait again once no run of them can be left."""
+        """Requeue tasks of taken-over jobs once no earlier run of them can be left."""
         for job in self.jobs.values():
             if not job.unknown_deadline_ms or now_ms < job.unknown_deadline_ms:
                 continue
@@ -414,7 +416,7 @@
             self.effects.job_ended(job)
 
 
-def _adopt(job: Job, task: Task, row: orders.HeldRun) -> orders.AdoptedRun:
+def _build_adopted_run(job: Job, task: Task, row: orders.HeldRun) -> orders.AdoptedRun:
     room = task.step.resources
     return orders.AdoptedRun(
         row.task,
@@ -436,7 +438,7 @@
     rng: random.Random | None = None,
     far_factor: float = 1.0,
 ) -> Dispatch:
-    """Return an owner without jobs; ``holds_lease`` tells if it holds its lease in the store."""
+    """Return a dispatch without jobs; ``holds_lease`` tells if the entry holds its lease."""
     jobs: dict[str, Job] = {}
     fleet = Fleet(effects)
     rng = rng or random.Random()
