--- a/src/gapdrum/core/jobs.py
+++ b/src/gapdrum/core/jobs.py
@@ -1,4 +1,4 @@
-"""A job at its owner: the phase of each task, its failures, and which ends are stored."""
+"""A job at its owner: the phase and failures of each task, and the ends to be stored."""
 
 import enum
 from collections.abc import Iterator
@@ -8,25 +8,24 @@
 from gapdrum.core.models import JobState, RunEnd, RunKey, Step, TaskName
 from gapdrum.core.records import JobProgress, OpenJob, TaskProgress, task_name
 
-# Attempts of one epoch lie above those of all earlier ones, so that a new owner, who does not
-# know how often a task was started, never numbers a start as an earlier one.
+# Attempt numbers of an epoch are above those of all earlier epochs: a new owner, which does not
+# know how often a task was started, never reuses a number.
 ATTEMPTS_PER_EPOCH = 1_000
-# Callers value a job that ends within this many times its objective as late, later not at all.
+# A job that ends after this many times its objective has no value to its caller.
 LATE_FACTOR = 3
-# What a job needs beside waiting and working: its way here and back, the order to the agent,
-# the look that shows its end.
+# Time that a job takes beside waiting and running: the request and its answer, the order to the
+# agent and the poll that shows the end.
 OVERHEAD_MS = 30
-# Of the time that a job may wait by its stated work, so much is counted on. Stated work is 40%
-# off, and the last of its tasks starts after the first: of the jobs begun later most end late,
-# and take room from others. Replays of overload (six seeds): 1.5% of the jobs end late with this
-# share, 4.8% with the whole time.
+# Share of the slack from its stated work that a job may wait before it begins. Stated work is off
+# by 40% and a job's last task starts after its first: most jobs that begin later end late, and
+# take room from others.
 BEGIN_SHARE = 0.5
 
 
 class TaskPhase(enum.Enum):
-    """Where a task is."""
+    """The phase of a task at its job's owner."""
 
-    UNKNOWN = "unknown"  # taken over: a run of it may be at an agent that has not answered yet
+    UNKNOWN = "unknown"  # taken over: an agent that has not answered yet may run it
     WAITING = "waiting"
     ORDERED = "ordered"
     RUNNING = "running"
@@ -35,7 +34,7 @@
 
 @attrs.frozen
 class Place:
-    """A runner, and the agent beside it."""
+    """A runner and its agent."""
 
     agent: str
     runner_id: str
@@ -43,7 +42,7 @@
 
 @attrs.frozen
 class StoredEnd:
-    """An end at a runner that waits to be stored."""
+    """A listed end of a run, by its number at the runner, that is not stored yet."""
 
     place: Place
     number: int
@@ -53,9 +52,9 @@
 class Task:
     """One task of a job; ``attempt`` is the number of its last start.
 
-    ``place_by_attempt`` tells where each attempt was ordered or adopted, and ``slowness`` how many
-    times as long as usual the last one was expected to take there, 0 if not known.
-    ``incarnation_by_attempt`` tells in which life of its agent each attempt was ordered.
+    ``place_by_attempt`` holds where each attempt was ordered or adopted, and
+    ``incarnation_by_attempt`` the incarnation of the agent that each was ordered from.
+    ``slowness`` is the expected duration of the last one against the usual one, 0 if not known.
     """
 
     name: TaskName
@@ -78,7 +77,7 @@
         return RunKey(self.name, self.attempt)
 
     def assign_place(self, place: Place) -> None:
-        """Note where the last start is."""
+        """Record the runner of the last start."""
         self.place = place
         self.place_by_attempt[self.attempt] = place
 
@@ -87,10 +86,10 @@
 class Job:
     """An open job that this entry owns.
 
-    ``chain_ms`` is the stated work of its longest chain of steps. One that is ``durable`` has a
-    row in the store, at ``version``, and another entry takes it over if this one is lost. Of
-    others only the caller knows, who waits for the end, and may submit the job again: each time
-    has a ``submission`` of its own.
+    ``chain_ms`` is the stated work of its longest chain of steps. A ``durable`` job has a row in
+    the store, at ``version``, and another entry takes it over if this one is lost. The caller of
+    a non-durable job waits for its end and may submit it again: each time gets its own
+    ``submission``.
     """
 
     job_id: str
@@ -119,57 +118,55 @@
     progress_dirty_ms: int = 0
     unstored_ends: list[StoredEnd] = attrs.Factory(list)
     unknown_deadline_ms: int = 0
-    caller_deadline_ms: int | None = (
-        None  # when its last caller will have stopped waiting, if known
-    )
+    caller_deadline_ms: int | None = None  # when its last caller stops waiting, if known
 
     @property
     def latest_start_ms(self) -> int:
-        """Return until when its tasks must have started for the job to meet its objective."""
+        """Return the latest time at which its tasks can start for it to meet its objective."""
         return self.accepted_ms + self.objective_ms - self.chain_ms - OVERHEAD_MS
 
     @property
     def begin_by_ms(self) -> int:
-        """Return until when the job should begin to be likely to meet its objective."""
+        """Return the latest time at which the job can begin and is likely to meet its objective."""
         return self.accepted_ms + self.begin_within_ms
 
     @property
     def has_waiting_tasks(self) -> bool:
-        """Tell whether a task is to be placed, now or once other steps are done."""
+        """Tell whether a task is to be placed, now or after other steps."""
         return any(task.phase is TaskPhase.WAITING for task in self.tasks)
 
     @property
     def is_unstarted(self) -> bool:
-        """Tell whether none of its tasks has started or may yet start."""
+        """Tell whether none of its tasks has started or is ordered."""
         return not self.begun and all(task.phase is TaskPhase.WAITING for task in self.tasks)
 
     @property
     def firm_deadline_ms(self) -> int:
-        """Return from when on an end of the job is worth nothing to its caller."""
+        """Return the time after which a result has no value to the caller."""
         return self.accepted_ms + LATE_FACTOR * self.objective_ms
 
     def extend_caller_deadline(self, until_ms: int | None) -> None:
-        """Note one more caller that waits, for ever if it has not said until when."""
+        """Add a caller that waits until a time, or without a limit if that is None."""
         if until_ms is None or self.caller_deadline_ms is None:
             self.caller_deadline_ms = None
         else:
             self.caller_deadline_ms = max(self.caller_deadline_ms, until_ms)
 
     def may_start(self, now_ms: int) -> bool:
-        """Tell whether somebody may still wait for what would start now.
+        """Tell whether a caller may still be waiting for the job.
 
-        Callers whose time is over may have submitted the job again elsewhere.
+        A caller that has stopped waiting may have submitted the job again to another entry.
         """
         return self.caller_deadline_ms is None or now_ms < self.caller_deadline_ms
 
     def owns_run(
-        self, task: Task, attempt: int, place: Place, submission: int, agent_life: str
+        self, task: Task, attempt: int, place: Place, submission: int, agent_incarnation: str
     ) -> bool:
-        """Tell whether a run at a place is one of this job's.
+        """Tell whether a run at a runner belongs to this job's current submission.
 
-        Attempts of stored jobs are unique over all owners. Those of others begin at 1 with each
-        submission, so a run of an earlier one may have the same name, also at the same place. An
-        agent does not know the submission (0) of what was ordered before its present life.
+        Attempts of durable jobs are unique over all owners. Those of others begin at 1 with each
+        submission, so a run of an earlier one may have the same name, even at the same runner.
+        An agent reports submission 0 for runs ordered before its current incarnation.
         """
         if self.durable:
             return True
@@ -177,10 +174,10 @@
             return False
         if submission == self.submission:
             return True
-        return submission == 0 and task.incarnation_by_attempt.get(attempt) != agent_life
+        return submission == 0 and task.incarnation_by_attempt.get(attempt) != agent_incarnation
 
     def ready_tasks(self) -> list[Task]:
-        """Return the waiting tasks whose turn has come."""
+        """Return the waiting tasks whose preceding steps are done."""
         open_steps = {task.name.step for task in self.tasks if task.phase is not TaskPhase.DONE}
         return [
             task
@@ -189,12 +186,12 @@
         ]
 
     def next_attempt(self, task: Task) -> int:
-        """Return the number of the next start of a task: it rises over starts and owners."""
+        """Return a task's next attempt number, above those of all its starts and owners."""
         floor = (self.epoch - 1) * ATTEMPTS_PER_EPOCH
         return max(task.attempt, floor) + 1
 
     def record_end(self, task: Task, attempt: int, end: RunEnd, now_ms: int) -> None:
-        """Note how a run ended; a task that is done stays done, whichever run did it."""
+        """Record how a run ended; a task that is done stays done, whichever run did it."""
         if task.phase is TaskPhase.DONE:
             return
         if end is RunEnd.DONE:
@@ -203,13 +200,13 @@
         elif end is RunEnd.FAILED:
             task.failed_attempts.add(attempt)
             self.progress_dirty_ms = self.progress_dirty_ms or now_ms
-        # A later run of a task that was taken over may be where nobody has told of it yet.
+        # A later run of a taken-over task may be at an agent that has not reported it yet.
         open_phases = (TaskPhase.ORDERED, TaskPhase.RUNNING)
         if task.phase in open_phases and attempt == task.attempt:
             self.release(task)
 
     def release(self, task: Task) -> None:
-        """Let a task wait again, as its last start came to nothing."""
+        """Requeue a task whose last run did not complete it."""
         if task.phase is TaskPhase.DONE:
             return
         task.phase = TaskPhase.WAITING
@@ -217,7 +214,7 @@
         task.hold_logged = False
 
     def outcome(self) -> JobState | None:
-        """Return the final state that the tasks' ends make up, None while it is open."""
+        """Return the final state that follows from its tasks, None while the job is open."""
         if any(len(task.failed_attempts) >= self.failures_allowed for task in self.tasks):
             return JobState.FAILED
         if all(task.phase is TaskPhase.DONE for task in self.tasks):
@@ -225,13 +222,13 @@
         return None
 
     def active_tasks(self) -> Iterator[Task]:
-        """Yield the tasks that may be at work somewhere."""
+        """Yield the tasks that are ordered or running."""
         for task in self.tasks:
             if task.phase in (TaskPhase.ORDERED, TaskPhase.RUNNING):
                 yield task
 
     def progress(self) -> JobProgress:
-        """Return what is known for good of the tasks."""
+        """Return the final facts on its tasks: which are done, and their failed attempts."""
         return JobProgress(
             tuple(
                 TaskProgress(
@@ -246,7 +243,7 @@
         )
 
     def restore(self, progress: JobProgress) -> None:
-        """Take over what an earlier owner stored of the tasks."""
+        """Restore the progress of the tasks that an earlier owner stored."""
         for row in progress.tasks:
             task = self.by_name[task_name(self.job_id, row.step, row.index)]
             task.failed_attempts = set(row.failed_attempts)
@@ -266,7 +263,7 @@
     latency_factor: float,
     latency_slack_ms: int,
 ) -> Job:
-    """Return a job as its row describes it, with all tasks waiting."""
+    """Return a job from its row, with all tasks waiting."""
     steps = tuple(row.to_step() for row in record.steps)
     chain_ms = longest_chain_ms(steps)
     tasks = [
@@ -300,14 +297,14 @@
 def begin_within_ms(chain_ms: int, latency_factor: float, latency_slack_ms: int) -> int:
     """Return how long a job may wait to begin and still be likely to meet its objective.
 
-    Only a share of the time that depends on its stated work is counted on.
+    Of the slack that depends on its stated work only ``BEGIN_SHARE`` counts.
     """
     spare_ms = BEGIN_SHARE * (latency_factor - 1) * chain_ms
     return max(0, int(spare_ms) + latency_slack_ms - OVERHEAD_MS)
 
 
 def longest_chain_ms(steps: tuple[Step, ...]) -> int:
-    """Return the estimate of the longest chain of steps that must follow each other."""
+    """Return the stated work of the longest chain of dependent steps."""
     ends: list[int] = []
     for step in steps:
         begin = max((ends[other] for other in step.after), default=0)
