--- a/src/gapdrum/core/placer.py
+++ b/src/gapdrum/core/placer.py
@@ -1,4 +1,4 @@
-"""Which waiting task goes where, and how long a new one would wait."""
+"""The placement of waiting tasks on runners, and the expected wait of new jobs."""
 
 import random
 from collections import Counter
@@ -36,29 +36,29 @@
 from gapdrum.core.stragglers import MoveContext, MoveDecision, StragglerPolicy
 from gapdrum.core.task_durations import TaskDurations
 
-# How many jobs of an upstream that find no room are looked at before its others are left to the
-# next change: smaller ones may still fit, but under overload all would be looked at in vain. Jobs
-# that no runner could ever hold do not count, or a few of them would hold up all others.
-HELD_JOBS_TRIED = 8
-# While no runner has room, all waiting jobs are judged anew this often.
+# A placement pass skips the other jobs of an upstream once so many found no room: smaller ones
+# may still fit, but under overload trying all is wasted work. Jobs that no runner could ever hold
+# do not count, or a few of them would block all others.
+MAX_HELD_JOBS = 8
+# Minimum interval of placement passes while no runner has room.
 TRY_INTERVAL_MS = 20
-TYPICAL = 0.5  # the quantile of durations that is expected of a task
-# Agents that start together with an entry are there after 0.7 s, their runners' room 1.5 s later.
+MEDIAN = 0.5  # the quantile of the queue's durations that a task is expected to take
+# Agents that start together with an entry join after 0.7 s and report free room 1.5 s later.
 WARM_UP_MS = 2_500
 
 
 @attrs.define
 class Placer:
-    """The jobs that wait, and the orders that they lead to. The time is given."""
+    """Places waiting tasks on runners and sends the start orders. Callers pass the time."""
 
     zone: str
     effects: Effects
-    holds_lease: Callable[[], bool]  # for stored jobs: whether the lease in the store is held
+    holds_lease: Callable[[], bool]  # durable jobs start only while it is held
     fleet: Fleet
     jobs: dict[str, Job]
     started_ms: int
     rng: random.Random
-    far_factor: float = 1.0  # how much longer a task takes away from its data's rack
+    far_factor: float = 1.0  # how many times as long a task takes off its data's rack
     durations: TaskDurations = attrs.Factory(TaskDurations)
     stragglers: StragglerPolicy = attrs.Factory(
         lambda self: StragglerPolicy(self.far_factor), takes_self=True
@@ -66,14 +66,14 @@
     waiting: set[str] = attrs.Factory(set)
     backlog: Backlog = attrs.Factory(Backlog)
     meter: DemandMeter = attrs.Factory(DemandMeter)
-    _untried: bool = False
-    _tried_ms: int = 0
-    demand: tuple[orders.UpstreamDemand, ...] = ()  # of the jobs that found no room, lately
+    _has_new_jobs: bool = False
+    _last_pass_ms: int = 0
+    demand: tuple[orders.UpstreamDemand, ...] = ()  # of the jobs without room in the last pass
 
     def expected_wait_ms(
         self, steps: tuple[Step, ...], priority: int, begin_by_ms: int, now_ms: int
     ) -> int:
-        """Return how long a new job would wait for room behind those that go before it."""
+        """Return how long a new job would wait for room behind the jobs placed before it."""
         if not self.waiting:
             return 0
         jobs = (self.jobs[job_id] for job_id in self.waiting)
@@ -88,9 +88,9 @@
         begin_by_ms: int,
         now_ms: int,
     ) -> bool:
-        """Tell whether the free room holds a new job, and all that waits for it before that job.
+        """Tell whether the free room holds a new job and all waiting tasks placed before it.
 
-        Room counts in whole tasks of the new job: what is left over at full runners is of no use.
+        Free room counts in multiples of the job's largest task: smaller remainders are no use.
         """
         largest_cpu_milli = max(step.resources.cpu_milli for step in steps)
         if not largest_cpu_milli:
@@ -99,18 +99,18 @@
         ahead = tasks_ahead(jobs, priority, begin_by_ms)
         needed = sum(task.step.resources.cpu_milli for task in ahead)
         needed += sum(step.tasks * step.resources.cpu_milli for step in steps)
-        field = self._build_field(upstream, largest_cpu_milli)
+        pool = self._build_pool(upstream, largest_cpu_milli)
         free = sum(
             view.free.cpu_milli // largest_cpu_milli
-            for view in field.with_room
+            for view in pool.with_room
             if view.state == orders.READY and not view.agent.is_stale(now_ms)
         )
         return free * largest_cpu_milli >= needed
 
     def is_unschedulable(self, upstream: str, steps: tuple[Step, ...]) -> bool:
-        """Tell whether a job could run in drained zones only, by the runners that are known.
+        """Tell whether only known runners in drained zones can hold one of a job's steps.
 
-        Such a job would wait until it is given up, half of its slack later, and then be refused.
+        Such a job would wait for half of its slack in vain before it is refused.
         """
         if not self.fleet.drained_zones:
             return False
@@ -123,10 +123,10 @@
         )
 
     def list_unmeetable(self, now_ms: int) -> list[Job]:
-        """Return waiting jobs that no longer can meet their objective and have not begun.
+        """Return unstarted jobs that can no longer meet their latency objective.
 
-        While the runners are still being found, room may come any moment, so these jobs wait
-        for as long as they are of use.
+        While agents join after the entry's start, room may appear at any moment, so such jobs
+        wait until their firm deadline.
         """
         warming_up = now_ms < self.started_ms + WARM_UP_MS
         return [
@@ -138,66 +138,70 @@
         ]
 
     def enqueue(self, job: Job) -> None:
-        """Let a job wait whose tasks have not been tried yet."""
+        """Queue a job with tasks that no placement pass has tried yet."""
         self.waiting.add(job.job_id)
-        self._untried = True
+        self._has_new_jobs = True
 
     def place_waiting(self, now_ms: int) -> None:
-        """Place the waiting tasks that find room, the most urgent first."""
+        """Place the waiting tasks that find room, those of the most urgent jobs first."""
         if not self.waiting:
             self.demand = ()
             return
         jobs = [self.jobs[job_id] for job_id in self.waiting]
-        fields = self._build_fields(jobs)
-        if self._may_skip(fields, now_ms):
+        pools = self._build_pools(jobs)
+        if self._can_skip_pass(pools, now_ms):
             return
-        self._untried = False
-        self._tried_ms = now_ms
-        self._try_all(jobs, fields, now_ms)
+        self._has_new_jobs = False
+        self._last_pass_ms = now_ms
+        self._place_all(jobs, pools, now_ms)
 
-    def _build_fields(self, jobs: list[Job]) -> dict[str, RunnerPool]:
-        """Return the runners of each upstream for which a job waits."""
+    def _build_pools(self, jobs: list[Job]) -> dict[str, RunnerPool]:
+        """Return the runner pool of each upstream for which a job waits."""
         least_cpu_milli: dict[str, int] = {}
         for job in jobs:
             least = least_cpu_milli.get(job.upstream, job.least_cpu_milli)
             least_cpu_milli[job.upstream] = min(least, job.least_cpu_milli)
-        return {name: self._build_field(name, least) for name, least in least_cpu_milli.items()}
+        return {name: self._build_pool(name, least) for name, least in least_cpu_milli.items()}
 
-    def _build_field(self, upstream: str, least_cpu_milli: int = 0) -> RunnerPool:
+    def _build_pool(self, upstream: str, least_cpu_milli: int = 0) -> RunnerPool:
         runners = self.fleet.open_runners()
         return build_pool(runners, upstream, least_cpu_milli, self.far_factor)
 
-    def _may_skip(self, fields: dict[str, RunnerPool], now_ms: int) -> bool:
-        """Tell whether trying all jobs would be in vain: under overload most reports bring none."""
-        has_room = any(field.with_room for field in fields.values())
-        return not has_room and not self._untried and now_ms - self._tried_ms < TRY_INTERVAL_MS
+    def _can_skip_pass(self, pools: dict[str, RunnerPool], now_ms: int) -> bool:
+        """Tell whether a pass can place nothing: under overload most reports bring no room."""
+        has_room = any(pool.with_room for pool in pools.values())
+        return (
+            not has_room
+            and not self._has_new_jobs
+            and now_ms - self._last_pass_ms < TRY_INTERVAL_MS
+        )
 
-    def _try_all(self, jobs: list[Job], fields: dict[str, RunnerPool], now_ms: int) -> None:
+    def _place_all(self, jobs: list[Job], pools: dict[str, RunnerPool], now_ms: int) -> None:
         holds_lease = self.holds_lease()
-        first_held: dict[str, Job] = {}
+        most_urgent: dict[str, Job] = {}
         held: Counter[str] = Counter()
         for job in sorted(jobs, key=lambda job: waiting_order(job, now_ms)):
-            if job.durable and not holds_lease or held[job.upstream] >= HELD_JOBS_TRIED:
+            if job.durable and not holds_lease or held[job.upstream] >= MAX_HELD_JOBS:
                 continue
             if not job.may_start(now_ms):
                 continue
-            field = fields[job.upstream]
-            if job.ending is not None or not self._place_job(job, field, now_ms):
+            pool = pools[job.upstream]
+            if job.ending is not None or not self._place_job(job, pool, now_ms):
                 self.waiting.discard(job.job_id)
                 continue
             ready = job.ready_tasks()
-            if any(waits_for_better(job, task, field, now_ms) for task in ready):
-                continue  # it leaves room unused where it would end late, and holds up nobody
-            if any(may_ever_fit(task, field) for task in ready):
+            if any(waits_for_better(job, task, pool, now_ms) for task in ready):
+                continue  # it leaves room unused where it would end late, and blocks no other job
+            if any(may_ever_fit(task, pool) for task in ready):
                 held[job.upstream] += 1
-                first_held.setdefault(job.upstream, job)  # the most urgent one
+                most_urgent.setdefault(job.upstream, job)  # jobs come in order of urgency
         waiting = Counter(job.upstream for job in jobs)
         least = self._least_waiting(jobs)
         self.demand = tuple(
             orders.UpstreamDemand(
                 name, urgency_of(job, now_ms), waiting[name], least[name], job.queue
             )
-            for name, job in first_held.items()
+            for name, job in most_urgent.items()
         )
 
     def _least_waiting(self, jobs: list[Job]) -> dict[str, int]:
@@ -209,42 +213,42 @@
                 least[job.upstream] = min(known, job.least_cpu_milli)
         return least
 
-    def _place_job(self, job: Job, field: RunnerPool, now_ms: int) -> bool:
-        """Place what can be placed of a job; return whether some of it still waits."""
+    def _place_job(self, job: Job, pool: RunnerPool, now_ms: int) -> bool:
+        """Place the ready tasks of a job that find room; return whether others still wait."""
         chosen: dict[Place, list[Task]] = {}
         held = False
         refused = None
         ready = job.ready_tasks()
         for task in ready:
-            runner = choose_runner(job, task, field, self.zone, now_ms, self.rng)
+            runner = choose_runner(job, task, pool, self.zone, now_ms, self.rng)
             if runner is None:
                 held = True
-                self._note_held(job, task, field, now_ms)
+                self._log_hold(job, task, pool, now_ms)
                 if task.step.resources == refused:
                     break
                 refused = task.step.resources
                 continue
-            task.slowness = field.speeds.of(runner) * distance(task.step, runner, self.far_factor)
+            task.slowness = pool.speeds.of(runner) * distance(task.step, runner, self.far_factor)
             self._assign(job, task, runner, now_ms)
             chosen.setdefault(runner.place, []).append(task)
         for key, tasks in chosen.items():
             self._send_order(job, self.fleet.runners[key], tasks, now_ms)
         return held or any(task.phase is TaskPhase.WAITING for task in ready)
 
-    def _note_held(self, job: Job, task: Task, field: RunnerPool, now_ms: int) -> None:
+    def _log_hold(self, job: Job, task: Task, pool: RunnerPool, now_ms: int) -> None:
         if not task.hold_logged:
             task.hold_logged = True
-            reason = self._why_held(job, task, field, now_ms)
+            reason = self._hold_reason(job, task, pool, now_ms)
             self.effects.note("task_held", request=job.job_id, task=task.name.text, reason=reason)
 
     @staticmethod
-    def _why_held(job: Job, task: Task, field: RunnerPool, now_ms: int) -> str:
-        """Return why a task waits: it leaves room unused, the room is kept, or there is none."""
-        if waits_for_better(job, task, field, now_ms):
+    def _hold_reason(job: Job, task: Task, pool: RunnerPool, now_ms: int) -> str:
+        """Return why a task waits: it would end late, room is reserved, or there is none."""
+        if waits_for_better(job, task, pool, now_ms):
             return "late_where_room_is"
         room = task.step.resources
-        kept = any(view.is_kept_from(job.queue, room) for view in field.with_room)
-        return orders.ROOM_KEPT if kept else orders.NO_ROOM
+        reserved = any(view.is_kept_from(job.queue, room) for view in pool.with_room)
+        return orders.ROOM_KEPT if reserved else orders.NO_ROOM
 
     def _assign(self, job: Job, task: Task, runner: RunnerView, now_ms: int) -> None:
         task.attempt = job.next_attempt(task)
@@ -291,12 +295,12 @@
                 self.release(job, task, "stream_closed", now_ms)
 
     def _expected_ms(self, job: Job, task: Task) -> int:
-        """Return how long a task is expected to take where it was placed."""
-        typical = self.durations.factor(job.queue, TYPICAL)
-        return int(task.step.estimate_ms * task.slowness * typical)
+        """Return the expected duration of a task on its runner."""
+        median = self.durations.factor(job.queue, MEDIAN)
+        return int(task.step.estimate_ms * task.slowness * median)
 
     def release(self, job: Job, task: Task, reason: str, now_ms: int) -> None:
-        """Let a task wait again whose last start came to nothing."""
+        """Requeue a task whose last run did not complete it."""
         if task.phase not in (TaskPhase.ORDERED, TaskPhase.RUNNING):
             return
         self.effects.note(
@@ -314,7 +318,7 @@
         self.waiting.add(job.job_id)
 
     def count_uneven_runners(self) -> int:
-        """Return how many runners are known to differ in speed so far that placement heeds it."""
+        """Return how many runners differ in speed so much that placement regards it."""
         by_upstream: dict[str, list[RunnerView]] = {}
         for runner in self.fleet.open_runners():
             by_upstream.setdefault(runner.upstream, []).append(runner)
@@ -323,15 +327,15 @@
     def judge_straggler(
         self, job: Job, task: Task, event: orders.RunEvent, now_ms: int
     ) -> MoveDecision:
-        """Tell whether a run that straggles is to be placed anew, and count the move."""
+        """Decide whether a straggling run is moved to another runner, and count the move."""
         task.avoided.add(task.place.runner_id)
-        field = self._build_field(job.upstream)
-        there = choose_runner(job, task, field, self.zone, now_ms, self.rng)
-        if there is not None and there.place.runner_id in task.avoided:
-            there = None
-        here = self.fleet.runners.get(task.place)
-        sight = MoveContext(here, there, field.speeds)
-        return self.stragglers.judge(job.queue, task, event, sight)
+        pool = self._build_pool(job.upstream)
+        other = choose_runner(job, task, pool, self.zone, now_ms, self.rng)
+        if other is not None and other.place.runner_id in task.avoided:
+            other = None
+        current = self.fleet.runners.get(task.place)
+        context = MoveContext(current, other, pool.speeds)
+        return self.stragglers.judge(job.queue, task, event, context)
 
 
 def _ordered_run(task: Task, distance_factor: float) -> orders.OrderedRun:
