--- a/src/gapdrum/core/expected_end.py
+++ b/src/gapdrum/core/expected_end.py
@@ -1,4 +1,4 @@
-"""When a task is expected to end at a runner, and whether its job then ends in time."""
+"""Forecasts of when a task ends at a runner, and with what margin to its job's objective."""
 
 import enum
 import functools
@@ -10,13 +10,13 @@
 from gapdrum.core.models import Step
 from gapdrum.core.runner_views import RunnerView
 
-# A task is sure to end in time if it could take this much longer than expected: the last task of
-# a job counts, tasks of one job differ by a tenth, and what is known of a runner is a tenth off.
+# A margin is safe if the task could take so many times as long as expected: a job ends with its
+# last task, its tasks differ by a tenth, and the known speed of a runner is a tenth off.
 SAFE_MARGIN_FACTOR = 1.5
 
 
 class DeadlineMargin(enum.IntEnum):
-    """Whether a task that begins now ends in time for its job."""
+    """How surely a task that begins now ends within its job's objective."""
 
     LATE = 0
     CLOSE = 1
@@ -24,17 +24,17 @@
 
 
 def distance(step: Step, view: RunnerView, far_factor: float) -> float:
-    """Return how many times as long a task takes at a runner for the way to its data."""
+    """Return how many times as long a task takes at a runner for being off its data's rack."""
     is_near = not step.data_rack or step.data_rack in view.labels
     return 1.0 if is_near else far_factor
 
 
 @attrs.frozen
 class CompletionForecast:
-    """What a task may expect of the runners: the time that it has, and how soon it may end.
+    """The forecast of a task's end at any runner, against the time that it has left.
 
-    ``left_ms`` is the time until it must have ended, and ``best`` the promptness at the runners
-    that suit it best, whether they have room or not.
+    ``left_ms`` is the time until the task must end, and ``best`` its margin at the runners that
+    suit it best, whether they have room or not.
     """
 
     speeds: FleetSpeeds
@@ -44,29 +44,29 @@
     best: DeadlineMargin
 
     def factor(self, view: RunnerView) -> float:
-        """Return how many times its stated work the task is expected to take at a runner."""
+        """Return the factor from the task's stated work to its duration at a runner."""
         return self.speeds.of(view) * distance(self.step, view, self.far_factor)
 
     def deadline_margin(self, view: RunnerView) -> DeadlineMargin:
-        """Tell whether the task would end in time at a runner."""
+        """Return the margin with which the task would end at a runner."""
         if not self.speeds.relative and not self.step.data_rack:
-            return self.best  # all runners are alike to it
+            return self.best  # the task takes equally long at all runners
         return deadline_margin(self.step.estimate_ms * self.factor(view), self.left_ms)
 
     def is_worth_waiting(self, view: RunnerView) -> bool:
-        """Tell whether a task would be late at a runner, and not at another that may get room."""
+        """Tell whether the task would end late at a runner but in time at one that may get room."""
         return self.deadline_margin(view) < min(self.best, DeadlineMargin.CLOSE)
 
 
 def deadline_margin(expected_ms: float, left_ms: float) -> DeadlineMargin:
-    """Tell how surely a task ends in the time that is left."""
+    """Return the margin of an expected duration within the time left."""
     if left_ms >= SAFE_MARGIN_FACTOR * expected_ms:
         return DeadlineMargin.SAFE
     return DeadlineMargin.CLOSE if left_ms >= expected_ms else DeadlineMargin.LATE
 
 
 def left_ms(job: Job, task: Task, now_ms: int) -> int:
-    """Return the time until a task must have ended for its job to meet its objective."""
+    """Return the time until a task must end for its job to meet its objective."""
     end_ms = job.accepted_ms + job.objective_ms - OVERHEAD_MS
     if len(job.steps) > 1:
         end_ms -= following_ms(job.steps, task.name.step)
@@ -75,11 +75,11 @@
 
 @functools.lru_cache(maxsize=256)
 def following_ms(steps: tuple[Step, ...], number: int) -> int:
-    """Return the stated work of the longest chain of steps that wait for one of a job's steps."""
+    """Return the stated work of the longest chain of steps that depend on a step."""
     after: set[int] = {number}
     ends: list[int] = [0] * len(steps)
-    for place, step in enumerate(steps):
+    for other_number, step in enumerate(steps):
         if after.intersection(step.after):
-            after.add(place)
-            ends[place] = step.estimate_ms + max(ends[other] for other in step.after)
+            after.add(other_number)
+            ends[other_number] = step.estimate_ms + max(ends[other] for other in step.after)
     return max(ends)
