--- a/src/gapdrum/core/backlog.py
+++ b/src/gapdrum/core/backlog.py
@@ -1,4 +1,4 @@
-"""How much work waits at an entry, how fast it is placed, and whether more still has a chance."""
+"""The work that waits at an entry, the rate at which it is placed, and the wait that results."""
 
 from collections import deque
 from collections.abc import Iterable, Iterator
@@ -8,18 +8,17 @@
 from gapdrum.core.jobs import Job, Task, TaskPhase
 from gapdrum.core.models import Step
 
-# Over this time the rate of placed work is measured: longer than most tasks, shorter than the
-# bursts that matter.
+# Window of the rate of placed work: longer than most tasks, shorter than the bursts that matter.
 RATE_WINDOW_MS = 1_000
-# After a pause or a start, the rate is that of the time since then, but of no less than this:
-# what is placed in the first moment says little.
+# Shortest window after a pause or a start: the work placed in the first moment says little of the
+# rate.
 MIN_RATE_WINDOW_MS = 100
-# Room that is free already takes this share of a job's own work off the wait.
+# Share of a new job's own work that counts as waiting; free room takes the rest.
 OWN_WORK_SHARE = 0.3
 
 
 def work_of(steps: Iterable[Step]) -> int:
-    """Return the stated work of steps in core-milliseconds, times a thousand."""
+    """Return the stated work of steps in milli-cores times milliseconds."""
     return sum(step.tasks * step.resources.cpu_milli * step.estimate_ms for step in steps)
 
 
@@ -30,42 +29,42 @@
 
 @attrs.define
 class Backlog:
-    """Measures at which rate waiting work has been placed."""
+    """Measures the rate at which waiting work is placed."""
 
     _placed: deque[tuple[int, int]] = attrs.Factory(deque)
     _sum: int = 0
     _since_ms: int = 0
 
     def record_placed(self, work: int, now_ms: int) -> None:
-        """Note work that was handed to a runner."""
+        """Record work that was placed on a runner."""
         if not self._placed:
             self._since_ms = now_ms
         self._placed.append((now_ms, work))
         self._sum += work
-        self._trim(now_ms)
+        self._drop_old(now_ms)
 
     def record_returned(self, work: int, now_ms: int) -> None:
-        """Note work that came back unstarted."""
+        """Record placed work that is requeued before its start."""
         self.record_placed(-work, now_ms)
 
-    def _trim(self, now_ms: int) -> None:
+    def _drop_old(self, now_ms: int) -> None:
         while self._placed and self._placed[0][0] < now_ms - RATE_WINDOW_MS:
             self._sum -= self._placed.popleft()[1]
 
     def rate(self, now_ms: int) -> float:
-        """Return how much work was placed a millisecond, lately."""
-        self._trim(now_ms)
+        """Return the work placed per millisecond within the window."""
+        self._drop_old(now_ms)
         window_ms = min(RATE_WINDOW_MS, max(MIN_RATE_WINDOW_MS, now_ms - self._since_ms))
         return max(0, self._sum) / window_ms
 
     def wait_ms(self, work_ahead: float, now_ms: int) -> int:
-        """Return how long so much work takes to be placed; 0 if nothing is known yet."""
+        """Return the time to place so much work at the current rate, 0 if that is not known."""
         rate = self.rate(now_ms)
         return int(work_ahead / rate) if rate else 0
 
 
 def tasks_ahead(jobs: Iterable[Job], priority: int, begin_by_ms: int) -> Iterator[Task]:
-    """Yield the waiting tasks that go before a new job that should begin by a time."""
+    """Yield the waiting tasks placed before a new job that should begin by a time."""
     for job in jobs:
         if job.is_unstarted and (job.priority, job.begin_by_ms) > (priority, begin_by_ms):
             continue
@@ -75,5 +74,5 @@
 
 
 def waiting_work(jobs: Iterable[Job], priority: int, begin_by_ms: int) -> int:
-    """Return the work of waiting tasks that go before a new job that should begin by a time."""
+    """Return the work of the waiting tasks placed before such a new job."""
     return sum(map(work_of_task, tasks_ahead(jobs, priority, begin_by_ms)))
