--- a/src/gapdrum/core/dispatch.py
+++ b/src/gapdrum/core/dispatch.py
@@ -234,7 +234,7 @@
         self._check_outcome(job)
 
     def _record_duration(self, job: Job, task: Task, now_ms: int) -> None:
-        """Add a run to the queue's duration statistics if the runner's slowness is known."""
+        """Add a run to the queue's duration statistics if its slowness is known."""
         if task.slowness:
             ran_ms = now_ms - task.started_ms
             slowness_permille = int(task.slowness * PERMILLE)
--- a/src/gapdrum/core/stragglers.py
+++ b/src/gapdrum/core/stragglers.py
@@ -1,8 +1,8 @@
-"""Whether a run that takes too long is placed anew: where the runner is slow, not the task.
+"""Straggler mitigation: whether a straggling run is stopped and moved to another runner.
 
-A run that is stopped begins from nothing, so it is moved only where it is clearly done sooner
-elsewhere, with all its work to be done again. How much work that is follows from how the other
-runs beside it do: where they go as usual, the task itself takes long, and would elsewhere.
+A moved run starts from the beginning, so it is moved only if it is expected to end clearly sooner
+there. How much work it has follows from the other runs at its runner: where these run at the
+usual speed, the task itself takes long, and would do so at any runner.
 """
 
 import math
@@ -17,20 +17,20 @@
 from gapdrum.core.runner_views import RunnerView
 
 PERMILLE = 1_000
-# How often a task is moved that only goes slowly, and the share of all starts that moves may
-# take, so that a slow day does not become a flood of restarts.
+# Moves allowed per slow task, and the share of all starts that moves may take, so that a slow day
+# does not become a flood of restarts.
 MAX_MOVES = 3
 MOVE_BUDGET_PERCENT = 15
-# A runner is slow that takes so many times as long as usual; sound ones differ by 1.6.
+# A runner is slow from so many times the usual duration on; healthy runners differ by 1.6.
 SLOW_FACTOR = 2.0
-# Projections rest on whole percents, and a slow runner may recover: less is not clearly sooner.
-CLEARLY_SOONER = 1.25
-# A stop, the end that is listed, the order and the start elsewhere.
-MOVE_MS = 100
-# A run that stands still is never left for ever: it is moved also without a budget, or after the
-# last move, once it has stood for so long, which doubles with each further move.
-STILL_FIRST_MS = 2_000
-STILL_MOST_MS = 16_000
+# Projections rest on whole percents, and a slow runner may recover: less does not justify a move.
+MIN_SPEEDUP = 1.25
+# Time for the stop, its listed end, the new order and the start.
+MOVE_OVERHEAD_MS = 100
+# Without budget or moves left, a stalled run is still moved once it has stalled for this limit,
+# which doubles with each further move: a run at a hung runner would never end.
+MIN_STALL_LIMIT_MS = 2_000
+MAX_STALL_LIMIT_MS = 16_000
 
 
 def _no_limit(_queue: str) -> float:
@@ -39,34 +39,34 @@
 
 @attrs.frozen
 class MoveContext:
-    """Where a run is, and where it could go; ``there`` is None if no other runner has room."""
+    """The runner of a run and the one to move it to; ``target`` is None if none has room."""
 
-    here: RunnerView | None
-    there: RunnerView | None
+    source: RunnerView | None
+    target: RunnerView | None
     speeds: FleetSpeeds
 
-    def here_factor(self, others_permille: int) -> float:
-        """Return how many times as long work takes here as usual, 1 unless the runner is slow.
+    def source_factor(self, others_permille: int) -> float:
+        """Return how many times as long as usual work takes at the run's runner.
 
-        The other runs beside it tell that best, else what the runner was reported at.
+        The other runs there tell that best, else the runner's reported slowness.
         """
-        reported = self.here.slowness_permille if self.here is not None else 0
-        return self._factor(others_permille or reported, self.here)
+        reported = self.source.slowness_permille if self.source is not None else 0
+        return self._factor(others_permille or reported, self.source)
 
-    def there_factor(self) -> float:
-        """Return how many times as long work takes there as usual."""
-        reported = self.there.slowness_permille if self.there is not None else 0
-        return self._factor(reported, self.there)
+    def target_factor(self) -> float:
+        """Return how many times as long as usual work takes at the other runner."""
+        reported = self.target.slowness_permille if self.target is not None else 0
+        return self._factor(reported, self.target)
 
     def _factor(self, permille: int, view: RunnerView | None) -> float:
-        """Return how slow a runner is now, or else how its speed differs from the usual one."""
+        """Return a runner's current slowness if it is slow, else its long-term relative one."""
         factor = permille / (self.speeds.usual_permille or PERMILLE)
         return factor if factor >= SLOW_FACTOR else self.speeds.of(view)
 
 
 @attrs.frozen
 class MoveDecision:
-    """Whether a run is moved, and when it would end from now on; None where that is not known."""
+    """Whether a run is moved, and in how long it would end; None where that is not known."""
 
     moved: bool
     ends_here_ms: int | None
@@ -75,10 +75,10 @@
 
 @attrs.define
 class StragglerPolicy:
-    """Judges runs that straggle, and counts the moves.
+    """Decides on moves of straggling runs, and counts the moves.
 
-    ``max_duration_factor`` tells how many times its estimate a task of a queue takes at most, but
-    for few: one that would take longer is held up by its runner.
+    ``max_duration_factor`` bounds the durations of nearly all tasks of a queue, relative to their
+    estimates: a run that would take longer is slowed down by its runner.
     """
 
     far_factor: float = 1.0
@@ -86,51 +86,56 @@
     budget: RatioBudget = attrs.Factory(lambda: RatioBudget(MOVE_BUDGET_PERCENT))
 
     def judge(
-        self, queue: str, task: Task, event: orders.RunEvent, sight: MoveContext
+        self, queue: str, task: Task, event: orders.RunEvent, context: MoveContext
     ) -> MoveDecision:
-        """Tell whether a run is placed anew, and count the move."""
-        still = event.detail == orders.STALLED
-        here_ms = None if still else event.left_ms
-        elsewhere_ms = self._expect_elsewhere(queue, task, event, sight)
-        if still:
-            moved = self._may_move_still(task, event.stalled_ms)
+        """Decide whether a run is moved, and count the move."""
+        stalled = event.detail == orders.STALLED
+        remaining_ms = None if stalled else event.left_ms
+        elsewhere_ms = self._estimate_elsewhere_ms(queue, task, event, context)
+        if stalled:
+            moved = self._may_move_stalled(task, event.stalled_ms)
         else:
-            sooner = _is_sooner(elsewhere_ms, here_ms)
+            sooner = _is_sooner(elsewhere_ms, remaining_ms)
             moved = sooner and task.moves < MAX_MOVES and self.budget.spend()
         if moved:
             task.moves += 1
-        return MoveDecision(moved, here_ms, elsewhere_ms)
+        return MoveDecision(moved, remaining_ms, elsewhere_ms)
 
-    def _may_move_still(self, task: Task, stalled_ms: int) -> bool:
-        """Tell whether a run that stands still is placed anew; it would not end where it is."""
+    def _may_move_stalled(self, task: Task, stalled_ms: int) -> bool:
+        """Tell whether a stalled run is moved; it would not end where it is."""
         may_spend = task.moves < MAX_MOVES and self.budget.spend()
-        return may_spend or stalled_ms >= still_pause_ms(task.moves)
+        return may_spend or stalled_ms >= stall_limit_ms(task.moves)
 
-    def _expect_elsewhere(
-        self, queue: str, task: Task, event: orders.RunEvent, sight: MoveContext
+    def _estimate_elsewhere_ms(
+        self, queue: str, task: Task, event: orders.RunEvent, context: MoveContext
     ) -> int | None:
-        """Return how long the task takes at the other runner, from nothing; None if not known."""
-        if sight.there is None:
+        """Return how long the whole task takes at the other runner, None if there is none."""
+        if context.target is None:
             return None
-        work_ms = float(task.step.estimate_ms)  # one that stands still tells nothing of its work
+        work_ms = float(task.step.estimate_ms)  # a stalled run tells nothing of its work
         if event.left_ms:
             total_ms = event.ran_ms + event.left_ms
-            slowed = sight.here_factor(event.others_permille) * self._far(task, sight.here)
-            longest_ms = work_ms * self.max_duration_factor(queue) if work_ms else math.inf
-            work_ms = min(total_ms / slowed, longest_ms)
-        return int(work_ms * sight.there_factor() * self._far(task, sight.there)) + MOVE_MS
-
-    def _far(self, task: Task, runner: RunnerView | None) -> float:
-        """Return how many times as long the task takes for being away from its data."""
+            slowdown = context.source_factor(event.others_permille) * self._distance_factor(
+                task, context.source
+            )
+            max_work_ms = work_ms * self.max_duration_factor(queue) if work_ms else math.inf
+            work_ms = min(total_ms / slowdown, max_work_ms)
+        return (
+            int(work_ms * context.target_factor() * self._distance_factor(task, context.target))
+            + MOVE_OVERHEAD_MS
+        )
+
+    def _distance_factor(self, task: Task, runner: RunnerView | None) -> float:
+        """Return how many times as long the task takes for being off its data's rack."""
         rack = task.step.data_rack
         is_near = not rack or runner is None or rack in runner.labels
         return 1.0 if is_near else self.far_factor
 
 
-def _is_sooner(elsewhere_ms: int | None, here_ms: int) -> bool:
-    return elsewhere_ms is not None and here_ms > CLEARLY_SOONER * elsewhere_ms
+def _is_sooner(elsewhere_ms: int | None, remaining_ms: int) -> bool:
+    return elsewhere_ms is not None and remaining_ms > MIN_SPEEDUP * elsewhere_ms
 
 
-def still_pause_ms(moves: int) -> int:
-    """Return how long a run stands still until it is moved in any case, after so many moves."""
-    return min(STILL_MOST_MS, STILL_FIRST_MS << max(0, moves - MAX_MOVES))
+def stall_limit_ms(moves: int) -> int:
+    """Return after how long a stalled run is moved in any case, given its moves so far."""
+    return min(MAX_STALL_LIMIT_MS, MIN_STALL_LIMIT_MS << max(0, moves - MAX_MOVES))
--- a/src/gapdrum/core/task_durations.py
+++ b/src/gapdrum/core/task_durations.py
@@ -1,71 +1,75 @@
-"""How long the tasks of each queue take against their stated work, on a usual runner."""
+"""Durations of each queue's tasks relative to their stated work, on a usual runner."""
 
 import math
 
 import attrs
 
-# Durations are told apart by steps of a tenth, from a 30th of the stated work to 80 times it.
+# Buckets of a tenth each on a logarithmic scale, from a 30th of the stated work to 80 times it.
 BUCKETS_PER_E = 10
 LOWEST_BUCKET, HIGHEST_BUCKET = -34, 44
-# With so many noted all counts are halved, so that a queue whose work changes is learned anew.
-MOST_NOTED = 4_000
-# Fewer tell nothing of what is typical.
-LEAST_NOTED = 20
+# At so many samples all counts are halved, so that old ones fade when a queue's work changes.
+MAX_SAMPLES = 4_000
+# Fewer samples say nothing of the queue.
+MIN_SAMPLES = 20
 PERMILLE = 1_000
 
 
 @attrs.define
-class _Sketch:
-    """Counts of ratios by their logarithm."""
+class _Histogram:
+    """A histogram of ratios on a logarithmic scale."""
 
     counts: dict[int, float] = attrs.Factory(dict)
-    noted: float = 0.0
+    samples: float = 0.0
 
     def add(self, ratio: float) -> None:
         bucket = round(math.log(ratio) * BUCKETS_PER_E)
         bucket = min(HIGHEST_BUCKET, max(LOWEST_BUCKET, bucket))
         self.counts[bucket] = self.counts.get(bucket, 0.0) + 1
-        self.noted += 1
-        if self.noted >= MOST_NOTED:
-            self.counts = {place: count / 2 for place, count in self.counts.items()}
-            self.noted /= 2
+        self.samples += 1
+        if self.samples >= MAX_SAMPLES:
+            self.counts = {key: count / 2 for key, count in self.counts.items()}
+            self.samples /= 2
 
     def quantile(self, quantile: float) -> float:
-        left = quantile * self.noted
+        remaining = quantile * self.samples
         for bucket in sorted(self.counts):
-            left -= self.counts[bucket]
-            if left <= 0:
+            remaining -= self.counts[bucket]
+            if remaining <= 0:
                 break
         return math.exp(bucket / BUCKETS_PER_E)
 
 
 @attrs.define
 class TaskDurations:
-    """Durations by queue, as ends of tasks tell them.
+    """Distribution of task durations by queue, learned from the tasks' ends.
 
-    ``slowness_permille`` is how much longer than usual the task was expected to take where it
-    ran; with it taken away, ends at all runners tell of the queue::
+    Durations are divided by ``slowness_permille``, how slow the task was expected to be where it
+    ran, so that ends at all runners count alike::
 
         durations = TaskDurations()
         durations.note("previews", ran_ms=340, estimate_ms=100, slowness_permille=1_700)
-        durations.factor("previews", 0.5)       # 2.0, once enough have been noted
+        durations.factor("previews", 0.5)       # 2.0, with enough samples
     """
 
-    _sketches: dict[str, _Sketch] = attrs.Factory(dict)
+    _histograms: dict[str, _Histogram] = attrs.Factory(dict)
 
     def note(self, queue: str, ran_ms: int, estimate_ms: int, slowness_permille: int) -> None:
-        """Note a task that is done; nothing is learned where a time is not known."""
+        """Add a completed task; one without a known time is ignored."""
         if ran_ms <= 0 or estimate_ms <= 0:
             return
         ratio = ran_ms / estimate_ms * PERMILLE / (slowness_permille or PERMILLE)
-        self._sketches.setdefault(queue, _Sketch()).add(ratio)
+        self._histograms.setdefault(queue, _Histogram()).add(ratio)
 
     def factor(self, queue: str, quantile: float) -> float:
-        """Return within how many times its stated work such a share of the tasks ends.
+        """Return a quantile of the durations relative to stated work.
 
-        It is 1.0 where too few are known to tell.
+        It is 1.0 if there are too few samples.
         """
-        sketch = self._sketches.get(queue)
-        if sketch is None or sketch.noted * (1 - quantile) < 1 or sketch.noted < LEAST_NOTED:
+        histogram = self._histograms.get(queue)
+        if (
+            histogram is None
+            or histogram.samples * (1 - quantile) < 1
+            or histogram.samples < MIN_SAMPLES
+        ):
             return 1.0
-        return sketch.quantile(quantile)
+        return histogram.quantile(quantile)
