--- a/src/gapdrum/core/queue_demand.py
+++ b/src/gapdrum/core/queue_demand.py
@@ -1,4 +1,4 @@
-"""How much of the room each queue has been asking for lately, and how much that varies."""
+"""The recent demand of each queue for room, and how much it varies."""
 
 import math
 from collections.abc import Iterable
@@ -10,33 +10,33 @@
 from gapdrum.core.jobs import begin_within_ms, longest_chain_ms
 from gapdrum.core.models import Step
 
-# Demand is averaged over this time: a burst of a second or two is not taken for a queue's usual
-# demand, and what has changed for good is followed within seconds.
+# Time constant of the demand's average: a burst of a second or two hardly counts, and a lasting
+# change is followed within seconds.
 AVERAGE_MS = 3_000
-# A queue without arrivals for this long asks for nothing any more.
-FORGOTTEN_MS = 4 * AVERAGE_MS
+# A queue without arrivals for this long has no demand any more.
+MAX_IDLE_MS = 4 * AVERAGE_MS
 PPM = 1_000_000
-# No part of the room is more than this: a queue may ask for more than there is.
-MOST_PPM = 10 * PPM
+# Upper limit of a demand, which may exceed the room that there is.
+MAX_PPM = 10 * PPM
 
 
 @attrs.define
 class _Arrivals:
-    """Decaying sums over the arrivals of one queue."""
+    """Exponentially decaying sums over the arrivals of one queue."""
 
     queue: Queue
     since_ms: int
-    noted_ms: int
+    decayed_ms: int
     jobs: float = 0.0
-    work: float = 0.0  # thousandths of a core, times milliseconds
-    spread: float = 0.0  # the same, times the room that a job takes at once
+    work: float = 0.0  # in milli-cores times milliseconds
+    spread: float = 0.0  # the same, times the milli-cores that a step takes at once
     run_ms: float = 0.0
     patience_ms: float = 0.0
 
     def decay(self, now_ms: int) -> None:
-        """Count what has come before as less."""
-        factor = math.exp((self.noted_ms - now_ms) / AVERAGE_MS)
-        self.noted_ms = now_ms
+        """Decay the sums to a time."""
+        factor = math.exp((self.decayed_ms - now_ms) / AVERAGE_MS)
+        self.decayed_ms = now_ms
         self.jobs *= factor
         self.work *= factor
         self.spread *= factor
@@ -44,7 +44,7 @@
         self.patience_ms *= factor
 
     def note(self, steps: tuple[Step, ...]) -> None:
-        """Count one job."""
+        """Add a job to the sums."""
         queue = self.queue
         chain_ms = longest_chain_ms(steps)
         self.jobs += 1
@@ -56,12 +56,12 @@
             self.spread += room * room * step.estimate_ms
 
     def row(self, room_cpu_milli: int) -> orders.QueueDemand:
-        """Return the demand as a part of the room."""
+        """Return the demand relative to the room."""
         queue = self.queue
-        # Shortly after the first arrival the sums do not cover the whole time yet.
-        covered_ms = AVERAGE_MS * (1 - math.exp((self.since_ms - self.noted_ms) / AVERAGE_MS))
+        # Soon after the first arrival the sums cover only a part of the averaging time.
+        covered_ms = AVERAGE_MS * (1 - math.exp((self.since_ms - self.decayed_ms) / AVERAGE_MS))
         covered_ms = max(covered_ms, self.run_ms / self.jobs if self.jobs else 1.0, 1.0)
-        asked = self.work / covered_ms / room_cpu_milli
+        demand = self.work / covered_ms / room_cpu_milli
         deviation = math.sqrt(self.spread / covered_ms) / room_cpu_milli
         return orders.QueueDemand(
             queue.upstream,
@@ -69,8 +69,8 @@
             queue.priority,
             int(self.run_ms / self.jobs) if self.jobs else 0,
             int(self.patience_ms / self.jobs) if self.jobs else 0,
-            min(MOST_PPM, int(asked * PPM)),
-            min(MOST_PPM, int(deviation * PPM)),
+            min(MAX_PPM, int(demand * PPM)),
+            min(MAX_PPM, int(deviation * PPM)),
             queue.weight,
             queue.reserved_permille,
             queue.ceiling_permille,
@@ -79,7 +79,7 @@
 
 @attrs.define
 class DemandMeter:
-    """Measures what comes at one entry, also what it refuses. The time is given.
+    """Measures the demand at one entry, refused jobs included. Callers pass the time.
 
     ::
 
@@ -88,10 +88,10 @@
     """
 
     _arrivals: dict[str, _Arrivals] = attrs.Factory(dict)
-    _with_shares: dict[str, Queue] = attrs.Factory(dict)  # for which operators have reserved room
+    _share_queues: dict[str, Queue] = attrs.Factory(dict)  # with a reservation or ceiling
 
     def note(self, queue: Queue, steps: tuple[Step, ...], now_ms: int) -> None:
-        """Note a job that was submitted."""
+        """Count a submitted job."""
         arrivals = self._arrivals.get(queue.name)
         if arrivals is None:
             arrivals = self._arrivals[queue.name] = _Arrivals(queue, now_ms, now_ms)
@@ -100,9 +100,9 @@
         arrivals.note(steps)
 
     def set_queues(self, queues: Iterable[Queue]) -> None:
-        """Go by a new configuration: a queue that is gone asks for nothing any more."""
+        """Apply a new configuration: a queue that is gone has no demand any more."""
         named = {queue.name: queue for queue in queues}
-        self._with_shares = {name: queue for name, queue in named.items() if queue.has_own_share}
+        self._share_queues = {name: queue for name, queue in named.items() if queue.has_own_share}
         self._arrivals = {
             name: attrs.evolve(arrivals, queue=named[name])
             for name, arrivals in self._arrivals.items()
@@ -111,18 +111,18 @@
 
     @property
     def has_own_shares(self) -> bool:
-        """Tell whether operators have set a share or a ceiling of a queue."""
-        return bool(self._with_shares)
+        """Tell whether a queue has a configured reservation or ceiling."""
+        return bool(self._share_queues)
 
     def rows(self, room_cpu_milli: dict[str, int], now_ms: int) -> tuple[orders.QueueDemand, ...]:
-        """Return what each queue asks for of the room of its upstream."""
+        """Return the demand of each queue for the room of its upstream."""
         for name, arrivals in list(self._arrivals.items()):
             arrivals.decay(now_ms)
-            if arrivals.jobs < math.exp(-FORGOTTEN_MS / AVERAGE_MS):
+            if arrivals.jobs < math.exp(-MAX_IDLE_MS / AVERAGE_MS):
                 del self._arrivals[name]
         idle = [
             _Arrivals(queue, now_ms, now_ms)
-            for name, queue in self._with_shares.items()
+            for name, queue in self._share_queues.items()
             if name not in self._arrivals
         ]
         return tuple(
--- a/src/gapdrum/core/room_offers.py
+++ b/src/gapdrum/core/room_offers.py
@@ -1,13 +1,12 @@
-"""Freed room of a runner that is kept for one entry for a moment."""
+"""Freed room of a runner that is offered to one entry for a few milliseconds."""
 
 import attrs
 
 from gapdrum.core.models import ZERO_RESOURCES, Resources
 
-# How long room is kept for the entry that was told of it: an order comes back after 2 to 5 ms.
-# Where work waits at one entry only it is not kept, and who answers later finds room by the
-# reports. Replays of overload (four seeds): 70% of the worst kind's worth is earned with 10 ms,
-# 62% with 20, as room stands empty for longer that an entry has no use for.
+# Validity of an offer: an order comes back after 2 to 5 ms. Longer offers leave room empty that an
+# entry has no use for. An entry that answers later finds room by the reports, and where work waits
+# at one entry only no offer is made.
 OFFER_MS = 10
 
 
@@ -20,36 +19,36 @@
 
 @attrs.define
 class RoomOffers:
-    """Who may use freed room, so that entries that see it do not all ask for the same.
+    """Offers of freed room to single entries, so that not all entries order the same room.
 
     ::
 
-        offers.make("entry-1/life", freed, now_ms)
-        free = ledger.free - offers.kept_from("entry-2/life", now_ms)
+        offers.make("entry-1/incarnation", freed, now_ms)
+        free = ledger.free - offers.kept_from("entry-2/incarnation", now_ms)
     """
 
     _offers: list[_Offer] = attrs.Factory(list)
 
     def make(self, owner: str, room: Resources, now_ms: int) -> None:
-        """Keep room for an owner."""
+        """Offer room to an owner."""
         self._offers.append(_Offer(owner, room, now_ms + OFFER_MS))
 
     def any(self, now_ms: int) -> bool:
-        """Tell whether room is kept for somebody."""
+        """Tell whether any offer is valid."""
         self._expire(now_ms)
         return bool(self._offers)
 
     def kept_from(self, owner: str, now_ms: int) -> Resources:
-        """Return the room that is kept for others than this owner."""
+        """Return the room that is offered to other owners than this one."""
         self._expire(now_ms)
-        kept = ZERO_RESOURCES
+        offered = ZERO_RESOURCES
         for offer in self._offers:
             if offer.owner != owner:
-                kept += offer.room
-        return kept
+                offered += offer.room
+        return offered
 
     def use(self, owner: str, room: Resources) -> None:
-        """Note that an owner has used room: as much of its offers is over."""
+        """Reduce the offers of an owner by room that it has used."""
         for offer in self._offers:
             if offer.owner == owner:
                 used = offer.room.overlap(room)
@@ -58,7 +57,7 @@
         self._drop_empty()
 
     def decline(self, owner: str) -> bool:
-        """End the offers of an owner that has no use for more room; tell whether it had any."""
+        """End the offers of an owner that needs no more room; return whether it had any."""
         others = [offer for offer in self._offers if offer.owner != owner]
         had_any = len(others) < len(self._offers)
         self._offers = others
