--- a/src/gapdrum/core/configuration.py
+++ b/src/gapdrum/core/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration: queues, upstreams and limits of the callers' interface."""
+"""The operators' configuration: queues, upstreams and limits of the HTTP interface."""
 
 import math
 
@@ -17,12 +17,12 @@
 
 @attrs.frozen
 class Queue:
-    """Where jobs are submitted: a host and a path prefix, and how its jobs are run.
+    """A queue: the host and path prefix of its submissions, and how its jobs are run.
 
-    ``latency_slack_ms`` and ``latency_factor`` make up a job's objective: the factor times its
-    longest chain of work, plus the slack. Queues of one priority share scarce room by their
-    ``weight``; ``reserved_permille`` of the room is kept for the queue while it is scarce, and the
-    queue never uses more of a runner than ``ceiling_permille``.
+    A job's latency objective is ``latency_factor`` times the work of its longest chain of steps,
+    plus ``latency_slack_ms``. Queues of one priority share scarce room by their ``weight``;
+    ``reserved_permille`` of the room is reserved for the queue while it is scarce, and the queue
+    never uses more of a runner than ``ceiling_permille``.
     """
 
     name: str = text_field()
@@ -40,17 +40,17 @@
 
     @property
     def has_own_share(self) -> bool:
-        """Tell whether operators have set a part of the room for it, or a limit."""
+        """Tell whether the queue has a reservation or a ceiling."""
         return bool(self.reserved_permille) or self.ceiling_permille < PERMILLE
 
     def objective_ms(self, chain_ms: int) -> int:
-        """Return the objective of a job with so much stated work in its longest chain."""
+        """Return the latency objective of a job from the work of its longest chain."""
         return int(self.latency_factor * chain_ms) + self.latency_slack_ms
 
 
 @attrs.frozen
 class Configuration:
-    """One version of the configuration; ``findings`` tell which values were not taken."""
+    """One version of the configuration; ``findings`` list its rejected values."""
 
     version: int = count_field()
     queues: tuple[Queue, ...] = attrs.field()
@@ -71,7 +71,7 @@
         return found
 
     def queue_named(self, name: str) -> Queue | None:
-        """Return the queue of that name, None if it is not there any more."""
+        """Return the queue of that name, None if it does not exist any more."""
         for queue in self.queues:
             if queue.name == name:
                 return queue
--- a/src/gapdrum/core/effects.py
+++ b/src/gapdrum/core/effects.py
@@ -1,4 +1,4 @@
-"""What the owner's decisions lead to outside of them."""
+"""The port through which decisions of an entry take effect."""
 
 from typing import Protocol
 
@@ -7,25 +7,25 @@
 
 
 class Effects(Protocol):
-    """What decisions lead to: messages to agents, and jobs that have come to an end."""
+    """What dispatch decisions cause: messages to agents, ends of jobs, log lines."""
 
     def send(self, agent: str, message: object) -> bool:
         """Send a message to an agent; return whether its stream took it."""
 
     def job_ended(self, job: Job) -> None:
-        """Store the end of a job."""
+        """Store the final state of a job."""
 
     def job_refused(self, job: Job) -> None:
-        """Tell the callers of a job that it has not run and will not."""
+        """Answer the callers of a job that it has not run and will not run."""
 
     def on_unowned_end(self, place: Place, event: orders.RunEvent) -> None:
-        """Find out about an end of a job that this entry does not own."""
+        """Resolve a run's end whose job this entry does not own."""
 
     def has_ended(self, job_id: str) -> bool:
         """Tell whether a job is known to have ended."""
 
     def schedule_placement(self) -> None:
-        """Call ``place_waiting`` once, after what is being read now has been taken in."""
+        """Call ``place_waiting`` once, after the messages read so far are applied."""
 
     def note(self, event: str, **fields: object) -> None:
-        """Record a decision."""
+        """Log a decision."""
--- a/src/gapdrum/core/planned_shutdown.py
+++ b/src/gapdrum/core/planned_shutdown.py
@@ -1,34 +1,34 @@
-"""Which new jobs an entry that is about to end still takes, and which others serve better."""
+"""Which new jobs an entry still accepts before its planned shutdown."""
 
 import attrs
 
-# Stated work is 40% off, and the slowest runners take a quarter longer than the stated time.
+# Stated work is off by 40%, and the slowest runners take a quarter longer than stated.
 RUNTIME_MARGIN_FACTOR = 1.5
-# The order to the agent, the look that shows the end, and the answer.
+# Time for the order to the agent, the poll that shows the end, and the answer.
 OVERHEAD_MS = 200
 
 
 @attrs.frozen
 class PlannedShutdown:
-    """When an entry ends, and after how long a caller that is sent away submits its job again.
+    """When an entry ends, and how long a refused caller takes to submit its job again.
 
-    A caller that hears before the end that its job did not run here loses ``resubmit_ms``. One
-    whose job is cut off at the end loses the whole time until then as well.
+    A caller that is refused loses ``resubmit_ms``. One whose job is cut off by the shutdown loses
+    the time until then as well.
 
     ::
 
-        departure = PlannedShutdown(ends_ms=6_000, resubmit_ms=1_300)
-        departure.has_time(received_ms=1_000, chain_ms=500, objective_ms=900)  # True
-        departure.has_time(received_ms=1_000, chain_ms=4_000, objective_ms=6_500)  # False
+        shutdown = PlannedShutdown(ends_ms=6_000, resubmit_ms=1_300)
+        shutdown.accepts_job(received_ms=1_000, chain_ms=500, objective_ms=900)  # True
+        shutdown.accepts_job(received_ms=1_000, chain_ms=4_000, objective_ms=6_500)  # False
     """
 
     ends_ms: int
     resubmit_ms: int
 
     def accepts_job(self, received_ms: int, chain_ms: int, objective_ms: int) -> bool:
-        """Tell whether a job of so much stated work should be served here.
+        """Tell whether this entry should run a job of so much stated work.
 
-        One that other entries can't serve in time any more is tried if its stated work fits.
+        A job that no other entry could end in time is accepted if its stated work just fits.
         """
         left_ms = self.ends_ms - received_ms
         if left_ms >= RUNTIME_MARGIN_FACTOR * chain_ms + OVERHEAD_MS:
