--- a/src/gapdrum/core/models.py
+++ b/src/gapdrum/core/models.py
@@ -1,4 +1,4 @@
-"""Jobs, tasks and runs on the platform, and the room that they take."""
+"""Jobs, tasks and runs on the platform, and the resources that they take."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class JobState(enum.Enum):
-    """What a caller is told of a job."""
+    """The state of a job as callers see it."""
 
     PENDING = "pending"
     RUNNING = "running"
@@ -16,7 +16,7 @@
 
 
 class RunEnd(enum.Enum):
-    """How a run ended. Only ``FAILED`` counts against the failures that a task may have."""
+    """How a run ended. Only ``FAILED`` counts against a task's allowed failures."""
 
     DONE = "done"
     FAILED = "failed"
@@ -49,7 +49,7 @@
         )
 
     def overlap(self, other: "Resources") -> "Resources":
-        """Return the room that both have, each part by itself."""
+        """Return the smaller amount of each resource."""
         return Resources(
             min(self.cpu_milli, other.cpu_milli),
             min(self.memory_mb, other.memory_mb),
@@ -57,7 +57,7 @@
         )
 
     def holds(self, other: "Resources") -> bool:
-        """Tell whether the other fits into this room."""
+        """Tell whether the other resources fit into these."""
         return (
             other.cpu_milli <= self.cpu_milli
             and other.memory_mb <= self.memory_mb
@@ -70,7 +70,7 @@
 
 @attrs.frozen
 class Step:
-    """A group of equal tasks of a job; it begins when the steps in ``after`` are done."""
+    """A group of equal tasks of a job that begins when the steps in ``after`` are done."""
 
     tasks: int
     resources: Resources
@@ -83,7 +83,7 @@
 
 @attrs.frozen
 class TaskName:
-    """Names a task: ``JOB.OCCURRENCE.STEP.INDEX``."""
+    """The name of a task: ``JOB.OCCURRENCE.STEP.INDEX``."""
 
     job_id: str
     occurrence: int
@@ -97,14 +97,14 @@
 
     @classmethod
     def parse(cls, text: str) -> "TaskName":
-        """Return the name in a text; raises ValueError."""
+        """Parse a name; raises ValueError if it is malformed."""
         job_id, occurrence, step, index = text.split(".")
         return cls(job_id, int(occurrence), int(step), int(index))
 
 
 @attrs.frozen
 class RunKey:
-    """Names one start of a task."""
+    """The key of one run: a task and the number of its start."""
 
     task: TaskName
     attempt: int
--- a/src/gapdrum/core/records.py
+++ b/src/gapdrum/core/records.py
@@ -1,8 +1,8 @@
 """The rows of jobs and entries in the platform's store, as msgpack records.
 
-A job's row lies in the table of open jobs from acceptance to its end, when one transaction
-moves it to the table of ended jobs. The job's identity picks the part, so that the parts share
-the write limit and several jobs of a part can be written together.
+A durable job's row is in the table of open jobs from acceptance to its end, when one transaction
+moves it to the table of ended jobs. The job's identifier picks the part, which spreads writes over
+the parts and lets jobs of one part share a transaction.
 """
 
 from typing import TypeVar
@@ -24,8 +24,8 @@
 LEASE_TABLE = "leases"
 ADDRESS_TABLE = "entries"
 UNPARTITIONED = ""
-# A part takes 200 transactions a second, one after another; each job needs two. Eight parts
-# carry the 430 jobs a second of the larger deployments with room to spare.
+# A part takes 200 transactions a second, one after another, and a job needs two: eight parts carry
+# the 430 jobs a second of the larger deployments with room to spare.
 JOB_PARTS = tuple(str(number) for number in range(8))
 MAX_SPEC_LENGTH = 4_000
 MAX_STEPS = 1_000
@@ -35,32 +35,32 @@
 
 
 def job_part(job_id: str) -> str:
-    """Return the part of the store that holds a job's rows."""
+    """Return the part of the store with a job's rows."""
     return JOB_PARTS[int(job_id[-1], 16) % len(JOB_PARTS)]
 
 
 def open_row(job_id: str) -> RowKey:
-    """Return where the row of an open job lies."""
+    """Return the key of an open job's row."""
     return RowKey(OPEN_TABLE, job_part(job_id), job_id)
 
 
 def progress_row(job_id: str) -> RowKey:
-    """Return where the ends of a long job's tasks are kept before the job has ended."""
+    """Return the key of the row with the ends of a long job's tasks while it is open."""
     return RowKey(PROGRESS_TABLE, job_part(job_id), job_id)
 
 
 def ended_row(job_id: str) -> RowKey:
-    """Return where the row of an ended job lies."""
+    """Return the key of an ended job's row."""
     return RowKey(ENDED_TABLE, job_part(job_id), job_id)
 
 
 def lease_row(instance: str) -> RowKey:
-    """Return where an entry's lease lies."""
+    """Return the key of an entry's lease."""
     return RowKey(LEASE_TABLE, UNPARTITIONED, instance)
 
 
 def address_row(instance: str) -> RowKey:
-    """Return where agents find an entry's address."""
+    """Return the key of an entry's address."""
     return RowKey(ADDRESS_TABLE, UNPARTITIONED, instance)
 
 
@@ -110,7 +110,7 @@
 @message(60)
 @attrs.frozen
 class OpenJob:
-    """An accepted job that has not ended, its owner and the owner's epoch."""
+    """An accepted job that has not ended, with its owner and the owner's epoch."""
 
     queue: str = text_field()
     upstream: str = text_field()
@@ -123,7 +123,7 @@
 
 @attrs.frozen
 class TaskProgress:
-    """What is known for good of a task of an open job, with the attempts that failed."""
+    """Whether a task of an open job is done, and its failed attempts; neither is undone."""
 
     step: int = count_field()
     index: int = count_field()
@@ -134,7 +134,7 @@
 @message(61)
 @attrs.frozen
 class JobProgress:
-    """The ends of tasks that were noted before their job ended."""
+    """The progress of an open job's tasks."""
 
     tasks: tuple[TaskProgress, ...] = rows_field(TaskProgress, MAX_TASKS)
 
@@ -151,7 +151,7 @@
 @message(62)
 @attrs.frozen
 class EndedJob:
-    """A job that has ended, for good; who ended it tells a repeated write from another's."""
+    """An ended job; its owner and epoch tell a repeated write from another entry's."""
 
     queue: str = text_field()
     state: str = attrs.field(validator=validators.in_([state.value for state in JobState]))
@@ -167,7 +167,7 @@
 
 @attrs.frozen
 class QueueDepth:
-    """How many jobs of a queue an entry owns that have not begun."""
+    """How many open jobs of a queue at an entry have not begun."""
 
     queue: str = text_field()
     waiting: int = count_field()
@@ -176,21 +176,21 @@
 @message(63)
 @attrs.frozen
 class EntryLease:
-    """An entry's lease: the incarnation that holds it, and figures that other entries read."""
+    """An entry's lease: the incarnation that holds it, and figures for its peers."""
 
     incarnation: str = text_field()
     renewals: int = count_field()
     depths: tuple[QueueDepth, ...] = rows_field(QueueDepth, MAX_QUEUES)
-    agents: int = count_field(default=0)  # connected to it
-    free_permille: int = count_field(default=0)  # of the room that it sees
+    agents: int = count_field(default=0)  # connected to the entry
+    free_permille: int = count_field(default=0)  # of the room that the entry sees
 
 
 @message(64)
 @attrs.frozen
 class EntryAddress:
-    """Where an entry listens for agents, and which share of all agents it asks for.
+    """Where an entry listens for agents, and the share of all agents that it requests.
 
-    It is written at the entry's start, and when the share changes.
+    The entry writes it at its start and when the share changes.
     """
 
     incarnation: str = text_field()
@@ -201,15 +201,14 @@
 
 
 def dump_record(record: object) -> bytes:
-    """Return a record as the value of a row."""
+    """Encode a record as the value of a row."""
     return encode(record)
 
 
 def load_record(value: bytes, kind: type[T]) -> T:
-    """Return the record of a kind in a row's value.
+    """Decode a row's value as a record of a kind.
 
-    Raises RecordError if it can't be read or is of another kind: another writer may have put it
-    there.
+    Raises RecordError if the value is malformed or of another kind, as another writer's may be.
     """
     try:
         record = next(Decoder().feed(value), None)
@@ -221,15 +220,15 @@
 
 
 def owner_name(instance: str, incarnation: str) -> str:
-    """Return how a job's row names its owner: one life of an entry."""
+    """Return the owner's name in a job's row: one incarnation of an entry."""
     return f"{instance}/{incarnation}"
 
 
 def entry_of_owner(owner: str) -> str:
-    """Return the entry of which an owner is a life."""
+    """Return the entry of which an owner is an incarnation."""
     return owner.rpartition("/")[0]
 
 
 def task_name(job_id: str, step: int, index: int) -> TaskName:
-    """Return the name of a task of a job that runs once."""
+    """Return the name of a task of a job without repeated occurrences."""
     return TaskName(job_id, 0, step, index)
--- a/src/gapdrum/core/rows.py
+++ b/src/gapdrum/core/rows.py
@@ -1,13 +1,13 @@
-"""Rows of the platform's store, and the transactions on them."""
+"""Rows of the platform's store, and transactions on them."""
 
 import attrs
 
-ABSENT = 0  # the version that stands for a row that does not exist
+ABSENT = 0  # the version of a row that does not exist
 
 
 @attrs.frozen
 class RowKey:
-    """Where a row lies. Rows of one part can change in one transaction."""
+    """The key of a row. Rows of one part can change in one transaction."""
 
     table: str
     part: str
@@ -16,7 +16,7 @@
 
 @attrs.frozen
 class Row:
-    """A row as the store gave it; ``value`` is None where the row does not exist."""
+    """A row as read from the store; ``value`` is None where the row does not exist."""
 
     at: RowKey
     value: bytes | None
@@ -25,7 +25,7 @@
 
 @attrs.frozen
 class Expectation:
-    """A condition of a transaction: the version that a row has, ``ABSENT`` for none."""
+    """A condition of a transaction: the row's version, ``ABSENT`` if it must not exist."""
 
     at: RowKey
     version: int
@@ -41,7 +41,7 @@
 
 @attrs.frozen
 class Transaction:
-    """Changes that take effect together or not at all; all in one part."""
+    """Changes to rows of one part that take effect atomically."""
 
     expectations: tuple[Expectation, ...] = ()
     puts: tuple[Put, ...] = ()
@@ -50,21 +50,21 @@
 
 @attrs.frozen
 class Committed:
-    """The transaction took effect; ``version`` is that of all rows it wrote."""
+    """The transaction took effect; all rows that it wrote have ``version``."""
 
     version: int
 
 
 @attrs.frozen
 class Conflict:
-    """Nothing took effect, as a condition did not hold; ``rows`` are those of all conditions."""
+    """A condition did not hold and nothing took effect; ``rows`` are those of all conditions."""
 
     rows: tuple[Row, ...]
 
 
 @attrs.frozen
 class Page:
-    """Rows in order of their keys, as of one moment."""
+    """Rows in order of their keys, from a consistent read."""
 
     rows: tuple[Row, ...]
     has_more: bool
@@ -73,7 +73,7 @@
 
 @attrs.frozen
 class Changes:
-    """Rows that changed after a version; ``version`` is where the next call goes on."""
+    """Rows that changed after a version; the next call continues from ``version``."""
 
     rows: tuple[Row, ...]
     version: int
