--- a/features/steps/platform_core_steps.py
+++ b/features/steps/platform_core_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the parts of the platform path that decide: no processes, the time is given."""
+"""Steps on the decisions of entries and agents, without processes and on a manual clock."""
 
 import ast
 import asyncio
@@ -93,22 +93,22 @@
 
 
 def poll(context, clock, running=(), ended=()):
-    shown = RunnerSnapshot(clock, tuple(running), tuple(ended))
-    context.told += [event for _, event in context.ledger.apply_snapshot(shown, clock)]
+    snapshot = RunnerSnapshot(clock, tuple(running), tuple(ended))
+    context.told += [event for _, event in context.ledger.apply_snapshot(snapshot, clock)]
 
 
-@when("a look at {clock:d} shows nothing")
-def look_empty(context, clock):
+@when("a poll at {clock:d} shows nothing")
+def poll_empty(context, clock):
     poll(context, clock)
 
 
-@when("a look at {clock:d} shows the run at work")
-def look_running(context, clock):
+@when("a poll at {clock:d} shows the run at work")
+def poll_running(context, clock):
     poll(context, clock, running=[RunningTask(RUN, 5)])
 
 
-@when("a look at {clock:d} shows the ends {first:d}, {second:d} and {third:d} of stored jobs")
-def look_ends(context, clock, first, second, third):
+@when("a poll at {clock:d} shows the ends {first:d}, {second:d} and {third:d} of durable jobs")
+def poll_ends(context, clock, first, second, third):
     ends = [
         EndedRun(number, RunKey(TaskName(JOB, 0, 0, number), 1), RunEnd.DONE)
         for number in (first, second, third)
@@ -126,8 +126,8 @@
     context.ledger.mark_ends_stored((first, second), ())
 
 
-@when("the end {number:d} was outrun")
-def end_outrun(context, number):
+@when("the end {number:d} was superseded")
+def end_superseded(context, number):
     context.ledger.mark_ends_stored((), (number,))
 
 
@@ -141,8 +141,8 @@
     assert context.ledger.free.cpu_milli == cpu, context.ledger.free
 
 
-@then("the run is told as {kind}")
-def run_told(context, kind):
+@then("the run is reported as {kind}")
+def run_reported(context, kind):
     expected = kind.replace(" ", "_")
     assert [event.kind for event in context.told] == [expected], context.told
 
@@ -158,14 +158,14 @@
     forgotten(context, number)
 
 
-@when("{later:d} ms later a look at {clock:d} shows {percent:d} percent of it")
-def look_later(context, later, clock, percent):
-    shown = RunnerSnapshot(clock, (RunningTask(RUN, percent),), ())
+@when("{later:d} ms later a poll at {clock:d} shows {percent:d} percent of it")
+def poll_later(context, later, clock, percent):
+    snapshot = RunnerSnapshot(clock, (RunningTask(RUN, percent),), ())
     context.ledger.mark_started(context.ledger.runs[RUN], 0)
-    context.told += [event for _, event in context.ledger.apply_snapshot(shown, later)]
+    context.told += [event for _, event in context.ledger.apply_snapshot(snapshot, later)]
 
 
-@then("the run is not told as straggling")
+@then("the run is not reported as straggling")
 def not_straggling(context):
     assert orders.STRAGGLING not in [event.kind for event in context.told], context.told
 
@@ -203,21 +203,21 @@
         context.health.record_run_failure(time)
 
 
-@when("it does a run at {time:d}")
+@when("it completes a run at {time:d}")
 def do_run(context, time):
     context.health.record_run_success()
 
 
-@then("it rests at {first:d} and at {second:d}, and is on trial at {third:d}")
-def rests(context, first, second, third):
+@then("it is ejected at {first:d} and at {second:d}, and is half-open at {third:d}")
+def is_ejected_then_half_open(context, first, second, third):
     assert context.health.is_ejected(first)
     assert context.health.is_ejected(second)
     assert not context.health.is_ejected(third)
     assert context.health.half_open
 
 
-@then("it does not rest at {time:d}")
-def not_resting(context, time):
+@then("it is not ejected at {time:d}")
+def not_ejected(context, time):
     assert not context.health.is_ejected(time)
 
 
@@ -225,7 +225,7 @@
 
 
 class Effects:
-    """Records what the decisions lead to."""
+    """Records the effects of decisions."""
 
     def __init__(self):
         self.sent = []
@@ -332,13 +332,13 @@
     holdings = orders.Holdings("i-2", (), ())
     context.dispatch.apply_holdings(context.view, holdings, context.now_ms)
     for number in range(count):
-        # They wait for longer than the job behind them, and so are tried before it.
+        # They are accepted before the job behind them, and so are tried before it.
         add_job(context, 1, job_id=f"{number:016x}", upstream=upstream)
     context.now_ms += 20
 
 
-@then('the agents are to hear that {count:d} jobs wait for "{upstream}"')
-def demand_told(context, count, upstream):
+@then('the published demand is {count:d} jobs that wait for "{upstream}"')
+def demand_published(context, count, upstream):
     context.now_ms += TRY_INTERVAL_MS
     context.dispatch.placer.place_waiting(context.now_ms)
     demand = [(row.upstream, row.jobs) for row in context.dispatch.placer.demand]
@@ -389,7 +389,7 @@
     add_job(context, 1, epoch=epoch, unknown_deadline_ms=context.now_ms + SILENCE_LIMIT_MS)
 
 
-@when("the agents' runs can't be left any more")
+@when("no run at an agent can be left any more")
 def unknown_over(context):
     context.now_ms += SILENCE_LIMIT_MS
     context.view.heard_ms = context.now_ms
@@ -409,30 +409,30 @@
     context.dispatch.expire_silent(context.now_ms)
 
 
-@when("the agent's next life joins and tells of no runner")
-def next_life(context):
+@when("the agent's next incarnation joins and reports no runner")
+def next_incarnation(context):
     greeting = orders.AgentGreeting("side-1", "life-2", "plaine-nord", 0)
     context.view = context.dispatch.fleet.agent_joined(greeting, context.now_ms)
 
 
-@when("the agent is heard, but not of the runner, until just before the limit")
-def runner_untold_before(context):
-    silent_before_with_beat(context, SILENCE_LIMIT_MS)
+@when("the agent sends heartbeats but no report of the runner until just before the limit")
+def runner_unreported_before(context):
+    pass_time_with_heartbeat(context, SILENCE_LIMIT_MS)
 
 
-@when("the agent is heard, but not of the runner, beyond the limit")
-def runner_untold_beyond(context):
-    silent_before_with_beat(context, 1)
+@when("the agent sends heartbeats but no report of the runner beyond the limit")
+def runner_unreported_beyond(context):
+    pass_time_with_heartbeat(context, 1)
 
 
-def silent_before_with_beat(context, time_ms):
+def pass_time_with_heartbeat(context, time_ms):
     context.now_ms += time_ms
     context.view.heard_ms = context.now_ms
     context.dispatch.expire_silent(context.now_ms)
 
 
-@when('the end "{end}" of attempt {attempt:d} is told twice')
-def tell_end(context, end, attempt):
+@when('the end "{end}" of attempt {attempt:d} is reported twice')
+def report_end(context, end, attempt):
     context.outside.sent.clear()
     event = orders.RunEvent(TASK.text, attempt, 1, orders.ENDED, end, attempt)
     for _ in range(2):
@@ -442,17 +442,17 @@
     context.dispatch.placer.place_waiting(context.now_ms)
 
 
-@when("the end of an unknown job is told, whose caller waited")
-def unknown_end_unkept(context):
-    tell_unknown_end(context, durable=False)
+@when("the end of an unknown non-durable job is reported")
+def unknown_nondurable_end(context):
+    report_unknown_end(context, durable=False)
 
 
-@when("the end of an unknown job is told, which is stored")
-def unknown_end_kept(context):
-    tell_unknown_end(context, durable=True)
+@when("the end of an unknown durable job is reported")
+def unknown_durable_end(context):
+    report_unknown_end(context, durable=True)
 
 
-def tell_unknown_end(context, durable):
+def report_unknown_end(context, durable):
     event = orders.RunEvent(TASK.text, 1, 1, orders.ENDED, "done", 1, durable=durable)
     message = orders.RunEvents("i-1", (event,))
     context.dispatch.apply_events(context.view, message, context.now_ms)
@@ -512,8 +512,8 @@
     assert [job.ending.value for job in context.outside.ended] == [state]
 
 
-@then("the agent is told that the end was outrun")
-def told_outrun(context):
+@then("the agent is told that the end was superseded")
+def told_superseded(context):
     superseded = [
         message.superseded
         for message in context.outside.sent
@@ -548,7 +548,7 @@
 
 
 class FakeCalls:
-    """Answers starts in turn, and remembers the expiry that it was told."""
+    """Answers starts with the given errors in turn, and records the last expiry."""
 
     def __init__(self, outcomes):
         self.outcomes = outcomes
@@ -560,25 +560,25 @@
         raise self.outcomes.pop(0)
 
 
-class LookedAt:
-    """Shows an empty runner at each look but those of ``unanswered``; counts the looks."""
+class PolledRunner:
+    """Answers each poll but those of ``unanswered`` as an empty runner; counts the polls."""
 
     def __init__(self, unanswered):
         self.unanswered = unanswered
-        self.looks = 0
+        self.polls = 0
 
     async def poll(self, _until_ms, _seen, fence, _wait_ms, _timeout_ms):
         await asyncio.sleep(0.001)
-        self.looks += 1
-        if fence and self.unanswered(self.looks):
+        self.polls += 1
+        if fence and self.unanswered(self.polls):
             raise NoReplyError("reset")
-        return RunnerSnapshot(self.looks, (), ())
+        return RunnerSnapshot(self.polls, (), ())
 
     def close(self):
         pass
 
 
-def new_keeper(context, unanswered):
+def new_controller(context, unanswered):
     timers = ManualTimers()
     context.room_told = []
 
@@ -590,27 +590,27 @@
         lambda controller: report(controller, []),
     )  # fmt: skip
     context.controller.ledger.capacity = Resources(4_000, 100, 0)
-    context.controller._context.calls = context.calls = LookedAt(unanswered)
+    context.controller._context.calls = context.calls = PolledRunner(unanswered)
 
 
-@given("a keeper of a runner that resets every look")
-def resets_looks(context):
-    new_keeper(context, lambda _look: True)
+@given("a controller of a runner that resets every poll")
+def resets_polls(context):
+    new_controller(context, lambda _poll: True)
 
 
-@given("a keeper of a runner that leaves its second look unanswered")
+@given("a controller of a runner that leaves its second poll unanswered")
 def second_unanswered(context):
-    # The very first call only learns the runner's clock.
-    new_keeper(context, lambda poll: poll == 3)
+    # The first call only reads the runner's clock.
+    new_controller(context, lambda poll: poll == 3)
 
 
-@given("a keeper of a runner that leaves three looks in a row unanswered")
+@given("a controller of a runner that leaves three polls in a row unanswered")
 def three_unanswered(context):
-    new_keeper(context, lambda poll: 3 <= poll <= 5)
+    new_controller(context, lambda poll: 3 <= poll <= 5)
 
 
 class TellingLinks(list):
-    """Links to entries that remember what was sent; each is named like its owner."""
+    """Links to entries that record the sent messages; each is named like its owner."""
 
     def of_owner(self, owner):
         return next((link for link in self if link.owner == owner), None)
@@ -627,7 +627,7 @@
         link.sent = []
         link.send = link.sent.append
         context.links.append(link)
-    new_keeper(context, lambda _look: False)
+    new_controller(context, lambda _poll: False)
     context.controller.ledger.upstream = "inspect-desk"
     context.controller.ledger.polled = True
     context.reports = EntryNotifier(context.links, {"i-1": context.controller}, ManualTimers())
@@ -659,14 +659,14 @@
     assert all(kinds.count("RoomReport") == 1 for kinds in told.values()), told
 
 
-@when("the offer to it has lapsed")
+@when("the offer to it has expired")
 def offer_to_it_lapsed(context):
     context.reports._timers.time_ms += OFFER_MS
     context.controller._timers.time_ms += OFFER_MS
 
 
 def room_seen(context):
-    """Return the room that each entry sees after the next interval, in thousandths of a core."""
+    """Return the room that each entry sees after the next interval, in milli-cores."""
     context.reports.send_room()
     return {link.owner: link.sent_room["i-1"].free_cpu_milli for link in context.links}
 
@@ -715,19 +715,19 @@
     assert [(event.task, event.kind) for event in events] == [(TASK.text, kind)], link.sent
 
 
-@when("it keeps looking for {duration:d} ms")
-def keep_looking(context, duration):
+@when("it polls for {duration:d} ms")
+def keep_polling(context, duration):
     async def run():
-        keeping = asyncio.create_task(context.controller.keep())
+        polling = asyncio.create_task(context.controller.keep())
         await asyncio.sleep(duration / 1_000)
-        keeping.cancel()
+        polling.cancel()
 
     asyncio.run(run())
 
 
-@then("it has looked at most {count:d} times")
-def looked_at_most(context, count):
-    assert context.calls.looks <= count, context.calls.looks
+@then("it has polled at most {count:d} times")
+def polled_at_most(context, count):
+    assert context.calls.polls <= count, context.calls.polls
 
 
 @then("entries are told of its room, of none, and of its room again")
@@ -763,7 +763,7 @@
 def room_held(context):
     ledger = context.starts.ledger
     ledger.apply_snapshot(RunnerSnapshot(context.calls.expires_ms, (), ()), context.timers.now_ms())
-    assert context.run.key in ledger.runs, "the room was given back before"
+    assert context.run.key in ledger.runs, "the room was released before its expiry"
     ledger.apply_snapshot(
         RunnerSnapshot(context.calls.expires_ms + 1, (), ()), context.timers.now_ms()
     )
@@ -798,22 +798,22 @@
     return context.starts._context.offers
 
 
-@when("{cpu:d} of them are kept for another entry")
-def keep_for_another(context, cpu):
+@when("{cpu:d} of them are offered to another entry")
+def offer_to_another(context, cpu):
     offers_of(context).make("entry-2/life", Resources(cpu, 50, 0), context.timers.now_ms())
 
 
-@when("{cpu:d} of them are kept for the entry itself")
-def keep_for_itself(context, cpu):
+@when("{cpu:d} of them are offered to the entry itself")
+def offer_to_itself(context, cpu):
     offers_of(context).make(OWNER, Resources(cpu, 50, 0), context.timers.now_ms())
 
 
-@when("the offer has lapsed")
+@when("the offer has expired")
 def offer_lapsed(context):
     context.timers.time_ms += OFFER_MS
 
 
-@when("the entry tells that nothing waits there")
+@when("the entry reports that nothing waits there")
 def decline_offers(context):
     offers_of(context).decline(OWNER)
 
@@ -826,8 +826,8 @@
     asyncio.run(run())
 
 
-@then("{cpu:d} of them are still kept from others")
-def kept_from_others(context, cpu):
+@then("{cpu:d} of them are still withheld from others")
+def withheld_from_others(context, cpu):
     kept = offers_of(context).kept_from("entry-2/life", context.timers.now_ms())
     assert kept.cpu_milli == cpu, kept
 
@@ -841,7 +841,7 @@
 
 
 def call_malformed(context, call):
-    """Make a call to the server, and return the code of the error that it ends with."""
+    """Call the server, and return the code of the error that the call raises."""
 
     async def run():
         port = find_port()
@@ -864,13 +864,13 @@
     assert found == code, found
 
 
-@then('a look at a runner fails as "{code}"')
-def look_fails(context, code):
+@then('a poll of a runner fails as "{code}"')
+def poll_fails(context, code):
     found = call_malformed(context, lambda at: RunnerCalls(at, "i").poll(0, 0, 0, 0, 1_000))
     assert found == code, found
 
 
-@given("work in the background that crashes once")
+@given("background work that crashes once")
 def crashing_work(context):
     context.runs = []
 
@@ -886,8 +886,8 @@
     asyncio.run(run())
 
 
-@then("it is begun again, and the crash is counted")
-def begun_again(context):
+@then("it is restarted, and the crash is counted")
+def restarted(context):
     assert len(context.runs) == 2, context.runs
     assert context.log.measures.events["task_crashed", ""] == 1
 
@@ -944,9 +944,9 @@
         add_job(context, 1, step=step, durable=False)
         task = context.job.tasks[0]
         task.avoided = set(row["avoids"].split())
-        field = build_pool(context.runners, "inspect-desk")
+        pool = build_pool(context.runners, "inspect-desk")
         chosen = choose_runner(
-            context.job, task, field, "plaine-nord", context.now_ms, random.Random(1)
+            context.job, task, pool, "plaine-nord", context.now_ms, random.Random(1)
         )
         name = chosen.place.runner_id if chosen is not None else "none"
         assert name == row["runner"], (row, name)
@@ -1008,8 +1008,8 @@
     add_job(context, 1, durable=False)
     task = context.job.tasks[0]
     chosen = {
-        choose_runner(context.job, task, field, "plaine-nord", 1_000, random.Random(seed)).place
-        for seed, field in enumerate(context.fields)
+        choose_runner(context.job, task, pool, "plaine-nord", 1_000, random.Random(seed)).place
+        for seed, pool in enumerate(context.fields)
     }
     assert len(chosen) >= runners, chosen
 
@@ -1018,7 +1018,7 @@
 
 
 class FakeStore:
-    """Rows in memory; ``failures`` are raised by the next writes, ``lost`` ones take effect."""
+    """Rows in memory; the next writes raise ``failures``; one of unknown outcome takes effect."""
 
     def __init__(self):
         self.rows = {}
@@ -1080,7 +1080,7 @@
             Transaction((Expectation(row_at(name), ABSENT),), (Put(row_at(name), b"new"),))
             for name in (first, second, third)
         ]
-        # A first change occupies the part, so that the others share the next transaction.
+        # The first change occupies the part, so that the others share the next transaction.
         calls = [context.writer.write("p", Transaction(puts=(Put(row_at("x"), b""),)))]
         calls += [context.writer.write("p", change) for change in changes]
         return await asyncio.gather(*calls)
@@ -1220,7 +1220,7 @@
     context.grants.note(OWNER, clock, False)
 
 
-@then("what callers wait for may run until {clock:d} and stored jobs not at all")
+@then("non-durable jobs may run until {clock:d} and durable jobs not at all")
 def granted(context, clock):
     assert context.grants.until_ms(OWNER, False) == clock
     assert context.grants.until_ms(OWNER, True) == 0
@@ -1230,7 +1230,7 @@
 
 
 def list_written_events():
-    """Return each event that the sources write, with the fields given there."""
+    """Return each event that the sources log, with its place and fields."""
     found = []
     for path in (ROOT / "src" / "gapdrum").rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
@@ -1276,7 +1276,7 @@
 
 
 class CountingWriter:
-    """Takes the place of a connection's writer; ``writes`` are the chunks it was given."""
+    """Replaces a connection's writer; ``writes`` are the chunks that were written."""
 
     def __init__(self):
         self.writes = []
@@ -1335,7 +1335,7 @@
 
 
 @when("an end of an unknown owner is {age_ms:d} ms old")
-def stray_end(context, age_ms):
+def unowned_end(context, age_ms):
     ledger = context.controller.ledger
     now_ms = context.reports._timers.now_ms()
     ledger.ends = {1: ListedEnd(RUN, UNKNOWN_OWNER, 0, RunEnd.DONE, now_ms - age_ms)}
@@ -1348,19 +1348,19 @@
     assert len(told) == count, told
 
 
-@then("the agent holds nothing that all entries would have to hear of")
-def holds_no_stray(context):
+@then("the agent holds nothing that it must report to all entries")
+def holds_no_unowned_end(context):
     assert not context.controller.ledger.held_owners(context.reports._timers.now_ms())
 
 
-@then("the agent holds what all entries would have to hear of")
-def holds_stray(context):
+@then("the agent holds an end that it must report to all entries")
+def holds_unowned_end(context):
     held = context.controller.ledger.held_owners(context.reports._timers.now_ms())
     assert [one.owner for one in held] == [UNKNOWN_OWNER], held
 
 
-@when("the agent tells on a new stream of an end of a job that is not the entry's")
-def foreign_end_held(context):
+@when("the agent reports on a new stream an end of a job that the entry does not own")
+def unowned_end_held(context):
     ended = orders.HeldRun(TASK.text, 1, 1, orders.HELD_ENDED, "done", 1)
     holdings = orders.Holdings("i-1", (), (ended,))
     context.dispatch.apply_holdings(context.view, holdings, context.now_ms)
--- a/features/steps/straggler_steps.py
+++ b/features/steps/straggler_steps.py
@@ -47,20 +47,20 @@
     begin_all(context)
 
 
-def look_at(context, age_ms):
-    """Look at what has run for so long; keep what is told of the slow run."""
+def poll_at(context, age_ms):
+    """Poll when the runs have run for so long; keep the events of the slow run."""
     running = [
         RunningTask(key, min(99, age_ms // pace_ms)) for key, pace_ms in context.pace_ms.items()
     ]
-    shown = RunnerSnapshot(BEGIN_MS + age_ms, tuple(running), ())
-    events = context.ledger.apply_snapshot(shown, BEGIN_MS + age_ms)
+    snapshot = RunnerSnapshot(BEGIN_MS + age_ms, tuple(running), ())
+    events = context.ledger.apply_snapshot(snapshot, BEGIN_MS + age_ms)
     context.told += [event for run, event in events if run.key == context.slow]
 
 
 @when("{time_ms:d} ms have passed since they began")
 def passed(context, time_ms):
     for age_ms in range(50, time_ms + 1, 50):
-        look_at(context, age_ms)
+        poll_at(context, age_ms)
     context.age_ms = time_ms
 
 
@@ -69,48 +69,48 @@
     context.pace_ms = {context.slow: 500 + context.age_ms % 500}
     percent = context.ledger.runs[context.slow].percent
     for age_ms in range(context.age_ms, context.age_ms + time_ms + 600, 50):
-        shown = RunnerSnapshot(BEGIN_MS + age_ms, (RunningTask(context.slow, percent),), ())
-        events = context.ledger.apply_snapshot(shown, BEGIN_MS + age_ms)
+        snapshot = RunnerSnapshot(BEGIN_MS + age_ms, (RunningTask(context.slow, percent),), ())
+        events = context.ledger.apply_snapshot(snapshot, BEGIN_MS + age_ms)
         context.told += [event for run, event in events if run.key == context.slow]
 
 
 @then(
-    "the slow one is told to crawl, with {ran_ms:d} ms gone and {left_ms:d} left, the others at "
+    "that one is reported as slow, with {ran_ms:d} ms gone and {left_ms:d} left, the others at "
     "{others:d} permille"
 )
-def told_to_crawl(context, ran_ms, left_ms, others):
+def told_slow(context, ran_ms, left_ms, others):
     event = context.told[-1]
     found = (event.kind, event.detail, event.ran_ms, event.left_ms, event.others_permille)
     assert found == (orders.STRAGGLING, orders.SLOW, ran_ms, left_ms, others), context.told
 
 
-@then("the slow one is not told to stand still")
-def not_still(context):
+@then("that one is not reported as stalled")
+def not_stalled(context):
     assert all(event.detail != orders.STALLED for event in context.told), context.told
 
 
-@then("the slow one is told to stand still for {time_ms:d} ms or more")
-def told_still(context, time_ms):
-    still = [event.stalled_ms for event in context.told if event.detail == orders.STALLED]
-    assert still and max(still) >= time_ms, context.told
+@then("that one is reported as stalled for {time_ms:d} ms or more")
+def told_stalled(context, time_ms):
+    times_ms = [event.stalled_ms for event in context.told if event.detail == orders.STALLED]
+    assert times_ms and max(times_ms) >= time_ms, context.told
 
 
 # The owner.
 
 
-class Noting(Effects):
-    """Remembers what was noted, too."""
+class RecordingEffects(Effects):
+    """Records logged events, too."""
 
     def __init__(self):
         super().__init__()
-        self.noted = []
+        self.notes = []
 
     def note(self, event, **fields):
         super().note(event, **fields)
-        self.noted.append((event, fields))
+        self.notes.append((event, fields))
 
 
-def tell_room(context, runner_id, free, slowness_permille=0, labels=()):
+def report_room(context, runner_id, free, slowness_permille=0, labels=()):
     dispatch = context.dispatch
     report = orders.RunnerReport(runner_id, "inspect-desk", orders.READY, labels, 4_000, 4_000, 0)
     dispatch.apply_report(context.view, report, context.now_ms)
@@ -121,13 +121,13 @@
 
 @given("an owner with a task of 500 ms at one of two runners, and {room} at the other")
 def owner_with_task(context, room):
-    context.outside = Noting()
+    context.outside = RecordingEffects()
     context.dispatch = build_dispatch("plaine-nord", context.outside, lambda: True, 0)
     context.now_ms = 1_000
     greeting = orders.AgentGreeting("side-1", "life-1", "plaine-nord", context.now_ms)
     context.view = context.dispatch.fleet.agent_joined(greeting, context.now_ms)
     for runner_id in ("i-1", "i-2"):
-        tell_room(context, runner_id, 4_000)
+        report_room(context, runner_id, 4_000)
         holdings = orders.Holdings(runner_id, (), ())
         context.dispatch.apply_holdings(context.view, holdings, context.now_ms)
     add_job(context, 1, step=Step(1, Resources(500, 10, 0), ESTIMATE_MS))
@@ -135,11 +135,11 @@
     context.here = context.task.place.runner_id
     context.there = "i-2" if context.here == "i-1" else "i-1"
     if room == "no room":
-        tell_room(context, context.there, 0)
-    tell(context, orders.STARTED)
+        report_room(context, context.there, 0)
+    report_event(context, orders.STARTED)
 
 
-def tell(context, kind, detail="", **fields):
+def report_event(context, kind, detail="", **fields):
     task = context.task
     event = orders.RunEvent(task.name.text, task.attempt, 1, kind, detail, **fields)
     message = orders.RunEvents(task.place.runner_id, (event,))
@@ -148,10 +148,10 @@
 
 @given("the runner where it is was reported at {here:d} permille, the other at {there:d}")
 def reported_pace(context, here, there):
-    tell_room(context, context.here, 3_500, here)
-    tell_room(context, context.there, 4_000, there)
+    report_room(context, context.here, 3_500, here)
+    report_room(context, context.there, 4_000, there)
     usual = orders.Holdings("i-3", (), ())
-    tell_room(context, "i-3", 0, there)
+    report_room(context, "i-3", 0, there)
     context.dispatch.apply_holdings(context.view, usual, context.now_ms)
 
 
@@ -167,7 +167,7 @@
 def data_here(context, factor):
     context.dispatch.placer.stragglers.far_factor = factor
     context.task.step = Step(1, Resources(500, 10, 0), ESTIMATE_MS, data_rack="r1")
-    tell_room(context, context.here, 3_500, labels=("r1",))
+    report_room(context, context.here, 3_500, labels=("r1",))
 
 
 @given("the budget of moves is spent")
@@ -176,13 +176,13 @@
 
 
 @when(
-    "its run crawls: {ran_ms:d} ms gone, {left_ms:d} left, the others beside it at "
+    "its run is slow: {ran_ms:d} ms gone, {left_ms:d} left, the other runs there at "
     "{others:d} permille"
 )
-def crawls(context, ran_ms, left_ms, others):
+def run_is_slow(context, ran_ms, left_ms, others):
     context.now_ms += ran_ms
     context.view.heard_ms = context.now_ms
-    tell(
+    report_event(
         context,
         orders.STRAGGLING,
         orders.SLOW,
@@ -192,30 +192,30 @@
     )
 
 
-@when("its run has stood still for {time_ms:d} ms")
-def stood_still(context, time_ms):
-    tell(context, orders.STRAGGLING, orders.STALLED, ran_ms=time_ms, stalled_ms=time_ms)
+@when("its run has stalled for {time_ms:d} ms")
+def has_stalled(context, time_ms):
+    report_event(context, orders.STRAGGLING, orders.STALLED, ran_ms=time_ms, stalled_ms=time_ms)
 
 
-def last_verdict(context):
-    return [fields for event, fields in context.outside.noted if event == "task_straggles"][-1]
+def last_decision(context):
+    return [fields for event, fields in context.outside.notes if event == "task_straggles"][-1]
 
 
 @then("it is moved")
 def is_moved(context):
-    assert last_verdict(context)["moved"], context.outside.noted
+    assert last_decision(context)["moved"], context.outside.notes
     assert isinstance(context.outside.sent[-1], orders.StopOrder)
 
 
 @then("it is not moved")
 def is_not_moved(context):
-    assert not last_verdict(context)["moved"], context.outside.noted
+    assert not last_decision(context)["moved"], context.outside.notes
     assert not any(isinstance(one, orders.StopOrder) for one in context.outside.sent)
 
 
-@when("its runs stand still for {time_s:d} s, wherever they are")
-def stand_still(context, time_s):
-    context.stood_ms = []
+@when("its runs stall for {time_s:d} s, wherever they are")
+def stall(context, time_s):
+    context.moved_after_ms = []
     since_ms = context.now_ms
     for _ in range(0, time_s * 1_000, REPEAT_MS):
         context.now_ms += REPEAT_MS
@@ -223,27 +223,31 @@
         stalled_ms = context.now_ms - since_ms
         if stalled_ms < 500:
             continue
-        tell(context, orders.STRAGGLING, orders.STALLED, ran_ms=stalled_ms, stalled_ms=stalled_ms)
-        if last_verdict(context)["moved"]:
-            context.stood_ms.append(stalled_ms)
-            tell(context, orders.ENDED, RunEnd.STOPPED.value, end_number=context.task.attempt)
+        report_event(
+            context, orders.STRAGGLING, orders.STALLED, ran_ms=stalled_ms, stalled_ms=stalled_ms
+        )
+        if last_decision(context)["moved"]:
+            context.moved_after_ms.append(stalled_ms)
+            report_event(
+                context, orders.ENDED, RunEnd.STOPPED.value, end_number=context.task.attempt
+            )
             context.dispatch.placer.place_waiting(context.now_ms)
-            tell(context, orders.STARTED)
+            report_event(context, orders.STARTED)
             since_ms = context.now_ms
 
 
 @then("it was moved at least 6 times, and from the fourth time on after 2, 4, 8 and 16 s")
 def moved_again(context):
-    stood = context.stood_ms
-    assert len(stood) >= 6, stood
-    assert max(stood[:3]) < 1_000, stood
-    for pause_ms, found_ms in zip((2_000, 4_000, 8_000, 16_000), stood[3:], strict=False):
-        assert pause_ms <= found_ms <= pause_ms + REPEAT_MS, stood
+    moved_after = context.moved_after_ms
+    assert len(moved_after) >= 6, moved_after
+    assert max(moved_after[:3]) < 1_000, moved_after
+    for pause_ms, found_ms in zip((2_000, 4_000, 8_000, 16_000), moved_after[3:], strict=False):
+        assert pause_ms <= found_ms <= pause_ms + REPEAT_MS, moved_after
 
 
 @when("its next run is done")
 def next_done(context):
-    tell(context, orders.ENDED, RunEnd.DONE.value, end_number=99)
+    report_event(context, orders.ENDED, RunEnd.DONE.value, end_number=99)
 
 
 @then("its job ends")
