--- a/features/steps/uneven_runner_steps.py
+++ b/features/steps/uneven_runner_steps.py
@@ -22,7 +22,7 @@
 NOW_MS = 10_000
 SLOW, USUAL, FAST = 1_700, 1_100, 650
 ZONE = "plaine-nord"
-MANY_ORDERS = 1_000  # a report with so many includes all that were sent
+MANY_ORDERS = 1_000  # a report of so many orders includes all that were sent
 
 
 # The agent's ledger.
@@ -66,20 +66,22 @@
     end_runs(context, count, work, ran, until, RunEnd.FAILED)
 
 
-@when("a run of {work:d} ms is seen to take {total:d} ms in all, five times, until {until:d} ms")
-def see_crawling(context, work, total, until):
-    context.crawling = next_key(context)
+@when(
+    "a run of {work:d} ms is projected to take {total:d} ms in all, five times, until {until:d} ms"
+)
+def project_slow_run(context, work, total, until):
+    context.slow_run = next_key(context)
     begin_ms = until - 1_600
-    start_run(context, context.crawling, work, begin_ms)
+    start_run(context, context.slow_run, work, begin_ms)
     for turn in range(5):
         now_ms = begin_ms + 400 * turn
         percent = min(99, 100 * (now_ms - begin_ms) // total)
-        poll(context, now_ms, running=(RunningTask(context.crawling, percent),))
+        poll(context, now_ms, running=(RunningTask(context.slow_run, percent),))
 
 
 @when("it is stopped at {now:d} ms")
-def stop_crawling(context, now):
-    end = EndedRun(context.ended, context.crawling, RunEnd.STOPPED)
+def stop_slow_run(context, now):
+    end = EndedRun(context.ended, context.slow_run, RunEnd.STOPPED)
     poll(context, now, ended=(end,))
 
 
@@ -181,7 +183,7 @@
         view.free = Resources()
 
 
-def new_field(context):
+def build_runner_pool(context):
     far_factor = context.far_factor if "far_factor" in context else 1.0
     return build_pool(context.views, "inspect-desk", 0, far_factor)
 
@@ -196,14 +198,14 @@
     return context.job, context.job.tasks[0]
 
 
-def choose(context, field, work_ms, rack="", waited_ms=0, seed=1):
+def choose(context, pool, work_ms, rack="", waited_ms=0, seed=1):
     job, task = new_task(context, work_ms, rack, waited_ms)
-    return choose_runner(job, task, field, ZONE, NOW_MS, random.Random(seed))
+    return choose_runner(job, task, pool, ZONE, NOW_MS, random.Random(seed))
 
 
-def choose_many(context, count, work_ms, field=None):
-    field = field or new_field(context)
-    return [choose(context, field, work_ms, seed=seed) for seed in range(count)]
+def choose_many(context, count, work_ms, pool=None):
+    pool = pool or build_runner_pool(context)
+    return [choose(context, pool, work_ms, seed=seed) for seed in range(count)]
 
 
 @then("{count:d} tasks go to the same runners of both")
@@ -215,7 +217,7 @@
 
 @then("placement {heeds} how fast they are")
 def heeds_speeds(context, heeds):
-    found = bool(new_field(context).speeds.relative)
+    found = bool(build_runner_pool(context).speeds.relative)
     assert found == (heeds == "heeds"), found
 
 
@@ -235,14 +237,14 @@
 
 @then("a task of {work:d} ms that has waited for {waited:d} ms {goes}")
 def slow_takes(context, work, waited, goes):
-    found = choose(context, new_field(context), work, waited_ms=waited)
+    found = choose(context, build_runner_pool(context), work, waited_ms=waited)
     went = "waits" if found is None else "goes to a slow runner"
     assert went == goes, (found, goes)
 
 
 @then('a task of {work:d} ms with data on "{rack}" that has waited for {waited:d} ms {goes}')
 def goes_near(context, work, rack, waited, goes):
-    found = choose(context, new_field(context), work, rack, waited)
+    found = choose(context, build_runner_pool(context), work, rack, waited)
     if found is None:
         went = "waits"
     else:
@@ -253,8 +255,8 @@
 # An entry.
 
 
-class NotingOutside(Effects):
-    """Records what is sent and noted."""
+class RecordingEffects(Effects):
+    """Records sent messages and logged events."""
 
     def __init__(self):
         super().__init__()
@@ -276,7 +278,7 @@
 @given('an entry that sees one runner on "{rack}", far tasks taking {far:g} times as long')
 def entry_with_far(context, rack, far):
     context.now_ms = NOW_MS
-    context.outside = NotingOutside()
+    context.outside = RecordingEffects()
     context.dispatch = build_dispatch(
         ZONE, context.outside, lambda: True, 0, random.Random(1), far_factor=far
     )
@@ -300,7 +302,7 @@
 
 
 @then("the agent is told that it takes {expected:d} ms")
-def told_estimate(context, expected):
+def estimate_sent(context, expected):
     (order,) = starts(context)
     assert [run.estimate_ms for run in order.runs] == [expected], order
 
