--- a/features/steps/crashing_task_steps.py
+++ b/features/steps/crashing_task_steps.py
@@ -7,7 +7,7 @@
 
 @when("each runner at which it is started crashes, {count:d} of them one after the other")
 def runners_crash(context, count):
-    context.starts = 1  # at the runner that was there when the job came
+    context.starts = 1  # the start when the job was added
     runner = "i-1"
     for number in range(2, count + 1):
         state = orders.RunnerReport(runner, "inspect-desk", orders.GONE, (), 0, 0, 0)
