--- a/src/gapdrum/core/run_pace.py
+++ b/src/gapdrum/core/run_pace.py
@@ -7,7 +7,7 @@
 
 PERMILLE = 1_000
 # Percents are whole and looked at every 0.2 s: a younger run shows too few of them to tell.
-LEAST_AGE_MS = 150
+MIN_AGE_MS = 150
 # Estimates are 40% off, and one task in 30 takes long itself: fewer runs tell nothing of a runner.
 LEAST_RUNS = 4
 # How many of those that began last at a runner are compared, and how long ago they may have begun:
--- a/src/gapdrum/core/runner_ledger.py
+++ b/src/gapdrum/core/runner_ledger.py
@@ -1,8 +1,8 @@
-"""What an agent knows of one runner: the runs there, the room they take, and their ends.
+"""An agent's record of one runner: the runs there, the room they take, and their ends.
 
-The agent is the only one who may call its runner, so this ledger is the one authority on the
-runner's room. Room counts from the decision to start until the end is listed, or until it is
-proven that the start will never take effect.
+Only the agent calls its runner, so this ledger is the authority on the runner's room. A run
+takes room from the decision to start it until the runner lists its end, or until its start is
+proven never to take effect.
 """
 
 from collections import Counter, deque
@@ -13,41 +13,40 @@
 from gapdrum.core.models import ZERO_RESOURCES, Resources, RunEnd, RunKey
 from gapdrum.core.records import entry_of_owner
 from gapdrum.core.run_bounds import SILENCE_LIMIT_MS
-from gapdrum.core.run_pace import LEAST_AGE_MS, RECENT_MS, RECENT_RUNS, Pace, usual_permille
+from gapdrum.core.run_pace import MIN_AGE_MS, RECENT_MS, RECENT_RUNS, Pace, usual_permille
 from gapdrum.core.runner_health import RunnerHealth
 from gapdrum.core.runner_models import EndedRun, RunnerSnapshot
 from gapdrum.core.runner_speed import RunnerSpeed
 
 UNKNOWN_OWNER = ""
-# A run whose share of work done has not changed for so long stands still: it is shown in whole
-# percents, and looked at every 0.2 s.
+# A run is stalled after this time without progress: runners report whole percents and are polled
+# every 0.2 s.
 STALL_MS = 450
 STALL_SHARE = 0.05
-# One that has shown percents is not taken to stand still before it was due to show some more.
+# A run that has made progress is not stalled before this many more percents are due at its pace.
 STALL_PERCENTS = 4
-# Of a run that was found at work the estimate is not known.
-FOUND_STALL_MS = 2_000
-# A run crawls if at its pace it will take this many times its estimate, which is 40% off; the
-# slowest sound runners take a quarter longer. A younger run shows too few percents to tell.
-CRAWL_FACTOR = 3
-CRAWL_SLACK_MS = 100
-# An owner that had no other room for a straggler hears of it again after this time.
+# The estimate of a run that the agent found at work after a restart is not known.
+UNKNOWN_ESTIMATE_STALL_MS = 2_000
+# A run is slow if at its pace it takes this many times its estimate. Estimates are 40% off, and
+# the slowest healthy runners take a quarter longer.
+SLOW_FACTOR = 3
+SLOW_SLACK_MS = 100
+# A straggler is reported again after this time, as its owner may have had no other room for it.
 STRAGGLER_REPEAT_MS = 300
-# Ends without a known owner that are older than this are told to all entries: any may know it.
-STRAY_END_MS = 3_000
-# Runners' steady clocks may be this much slow against ours.
+# Older ends without a known owner are sent to all entries, as any of them may own the job.
+OWNERLESS_END_MS = 3_000
+# The least rate of a runner's steady clock against the agent's.
 CLOCK_RATE_FLOOR = 0.98
 
 
 @attrs.define(eq=False)
 class Run:
-    """A run at the runner; ``room`` is None after a restart until its owner tells it.
+    """A run at the runner; ``room`` is None after the agent's restart until its owner adopts it.
 
-    ``start_expires_ms`` is the reading of the runner's clock from which on the start can't
-    take effect any more, and ``calling`` tells whether the call is still under way. One that is
-    not ``claimed`` was found at the runner, or its owner has joined anew, and has not said yet
-    that the run is its own; ``last_echo_ms`` is the owner's last word before that, None if not
-    known.
+    The start can't take effect once the runner's clock has passed ``start_expires_ms``;
+    ``calling`` is set while the start call is pending. A run is not ``claimed`` if the agent
+    found it at the runner, or if its owner has rejoined and has not claimed it yet;
+    ``last_echo_ms`` is the owner's last echo before that, None if not known.
     """
 
     key: RunKey
@@ -61,7 +60,7 @@
     claimed: bool = True
     last_echo_ms: int | None = None
     calling: bool = False
-    stopping_ms: int | None = None  # since when it is to be stopped
+    stopping_ms: int | None = None  # when the agent decided to stop it
     percent: int = 0
     percent_ms: int = 0
     estimate_ms: int = 0
@@ -74,21 +73,21 @@
 
     @property
     def stopping(self) -> bool:
-        """Tell whether it is to be stopped, and its end is not listed yet."""
+        """Return whether the run is to be stopped and its end is not listed yet."""
         return self.stopping_ms is not None
 
     @property
     def stall_ms(self) -> int:
-        """Return how long it may show no progress without being taken to stand still."""
+        """Return how long the run may make no progress before it counts as stalled."""
         if not self.started_ms:
-            return FOUND_STALL_MS
-        usual_ms = 0
+            return UNKNOWN_ESTIMATE_STALL_MS
+        expected_gap_ms = 0
         if self.percent:
-            usual_ms = STALL_PERCENTS * (self.percent_ms - self.started_ms) // self.percent
-        return max(STALL_MS, int(self.estimate_ms * STALL_SHARE), usual_ms)
+            expected_gap_ms = STALL_PERCENTS * (self.percent_ms - self.started_ms) // self.percent
+        return max(STALL_MS, int(self.estimate_ms * STALL_SHARE), expected_gap_ms)
 
     def pace(self, now_ms: int) -> Pace:
-        """Return how fast it goes, or has gone; nothing is known of one that was found at work."""
+        """Return the run's pace; it is unknown for a run that the agent found at work."""
         if not self.started_ms:
             return Pace(0, 0, 0)
         if self.done_ms:
@@ -98,10 +97,10 @@
 
 @attrs.define
 class ListedEnd:
-    """An end that the runner lists until it may be forgotten.
+    """An end that the runner lists until the agent acknowledges it.
 
-    Only ends that count for a stored job need to be kept until they are stored: a caller that
-    waits sends its job again, and what was stopped is started anew in any case.
+    Only the ends of durable jobs must be stored before that: a waiting caller submits its job
+    again, and a stopped run is started anew in any case.
     """
 
     key: RunKey
@@ -114,7 +113,7 @@
     superseded: bool = False
 
     def to_row(self, number: int) -> orders.HeldRun:
-        """Return the row that tells of it among what is held."""
+        """Return the end as a row of the agent's holdings."""
         return orders.HeldRun(
             self.key.task.text,
             self.key.attempt,
@@ -126,7 +125,7 @@
         )
 
     def to_event(self, number: int) -> orders.RunEvent:
-        """Return the event that tells of it, under its number at the runner."""
+        """Return the end as an event, with its number at the runner."""
         return orders.RunEvent(
             self.key.task.text,
             self.key.attempt,
@@ -140,7 +139,7 @@
 
 @attrs.frozen
 class HeldOwner:
-    """An owner of whom something is held, and whether that is of stored jobs."""
+    """An owner of held runs or ends, and whether these are of durable jobs."""
 
     owner: str
     durable: bool
@@ -157,7 +156,7 @@
     draining: bool = False
     zone_closed: bool = False
     gone: bool = False
-    leaving: bool = False  # it has said that it ends, and may still be at work
+    leaving: bool = False  # the runner has announced its shutdown and may still execute runs
     polled: bool = False
     reachable: bool = True
     clock_ms: int = 0
@@ -166,20 +165,21 @@
     last_end: int = 0
     runs: dict[RunKey, Run] = attrs.Factory(dict)
     ends: dict[int, ListedEnd] = attrs.Factory(dict)
-    # Ends that nobody stores, the oldest first; the owner's stream may have failed before it heard
-    # of them.
+    # Ends that nobody stores, the oldest first, to be sent again if the owner's stream fails before
+    # it has received them.
     recent_ends: dict[RunKey, ListedEnd] = attrs.Factory(dict)
     used: Resources = ZERO_RESOURCES
     used_cpu_milli: Counter[str] = attrs.Factory(Counter)  # by queue
     health: RunnerHealth = attrs.Factory(RunnerHealth)
     speed: RunnerSpeed = attrs.Factory(RunnerSpeed)
     unknown_runs: int = 0
-    # Those that began last, of which as many as are compared may be of a job itself.
+    # The runs that began last: twice as many as are compared, as a run is compared with runs of
+    # other jobs only.
     recent_runs: deque[Run] = attrs.Factory(lambda: deque(maxlen=2 * RECENT_RUNS))
 
     @property
     def state(self) -> str:
-        """Return the runner's state as entries are told it."""
+        """Return the state of the runner that is reported to entries."""
         if self.gone:
             return orders.GONE
         if self.draining:
@@ -190,10 +190,10 @@
 
     @property
     def free(self) -> Resources:
-        """Return the room that nothing holds.
+        """Return the room that no run holds.
 
-        There is none while a run's room is unknown, while the lease must lapse, and while the zone
-        is drained.
+        No room is free while a run's room is unknown, while the lease must lapse, and while the
+        zone is drained.
         """
         if self.awaits_lapse() or self.zone_closed:
             return ZERO_RESOURCES
@@ -203,13 +203,13 @@
         return self.capacity - self.used
 
     def clock_floor(self, awake_ms: int) -> int:
-        """Return a lower bound of the runner's clock now, also after both were suspended."""
+        """Return a lower bound of the runner's clock, valid also after both were suspended."""
         return self.clock_ms + int((awake_ms - self.clock_read_ms) * CLOCK_RATE_FLOOR)
 
     def update_clock(self, clock_ms: int | None, awake_ms: int) -> None:
-        """Take a reading of the runner's clock from an answer that came just now.
+        """Record a reading of the runner's clock from an answer received now.
 
-        The reading was made before now, so counting on from now gives a lower bound.
+        The runner took the reading earlier, so adding the time from now on gives a lower bound.
         """
         if clock_ms is not None and clock_ms >= self.clock_ms:
             self.clock_ms = clock_ms
@@ -218,7 +218,7 @@
     def begin(self, run: Run) -> None:
         """Take room for a run that is about to be started.
 
-        An end under the same name is of an earlier submission, whose caller has left.
+        An end with the same key is of an earlier submission, whose caller has disconnected.
         """
         self.recent_ends.pop(run.key, None)
         self.runs[run.key] = run
@@ -233,7 +233,7 @@
         self.used_cpu_milli[run.queue] += run.room.cpu_milli
 
     def drop(self, key: RunKey) -> Run | None:
-        """Give the room of a run back; None if it isn't here."""
+        """Remove a run and free its room; return None if it is not here."""
         run = self.runs.pop(key, None)
         if run is None:
             return None
@@ -254,7 +254,7 @@
         room: Resources,
         submission: int = 0,
     ) -> None:
-        """Let a run go on for its owner, who knows the room that it takes."""
+        """Continue a run for its owner, which states the room that the run takes."""
         run = self.runs.get(key)
         if run is None:
             return
@@ -269,56 +269,58 @@
         run.claimed = True
 
     def apply_snapshot(
-        self, poll: RunnerSnapshot, now_ms: int
+        self, snapshot: RunnerSnapshot, now_ms: int
     ) -> list[tuple[Run, orders.RunEvent]]:
-        """Bring the ledger up to what the runner shows; return what changed, run by run."""
+        """Update the ledger from a poll's answer; return an event for each change of a run."""
         self.polled = True
         events = []
-        for ended in poll.ended:
+        for ended in snapshot.ended:
             if ended.number > self.last_end:
                 events.append(self._record_end(ended, now_ms))
-        shown = {running.run: running.percent for running in poll.running}
+        shown = {running.run: running.percent for running in snapshot.running}
         for key, percent in shown.items():
-            events.extend(self._note_running(key, percent, now_ms))
-        for key in shown:  # each beside the others as this look shows them
-            events.extend(self._judge_pace(self.runs[key], now_ms))
+            events.extend(self._record_running(key, percent, now_ms))
+        for key in shown:  # once the progress of all runs is up to date, as they are compared
+            events.extend(self._check_progress(self.runs[key], now_ms))
         for run in list(self.runs.values()):
-            if run.key not in shown and self._never_started(run, poll.clock_ms):
+            if run.key not in shown and self._never_started(run, snapshot.clock_ms):
                 self.drop(run.key)
                 events.append((run, _event(run, orders.NOT_STARTED, orders.START_UNANSWERED)))
         return events
 
     def _record_end(self, ended: EndedRun, now_ms: int) -> tuple[Run, orders.RunEvent]:
         if not self.ends and self.acknowledged_end < ended.number - 1:
-            self.acknowledged_end = ended.number - 1  # the runner has forgotten all lower ones
+            # The runner has forgotten all lower numbers.
+            self.acknowledged_end = ended.number - 1
         self.last_end = ended.number
         run = self.drop(ended.run) or Run(ended.run, UNKNOWN_OWNER, 0, ZERO_RESOURCES, 0, now_ms)
-        noted = ListedEnd(ended.run, run.owner, run.epoch, ended.end, now_ms, run.submission)
-        self._judge_end(run, ended.end, now_ms)
-        noted.stored = not (run.durable and ended.end in (RunEnd.DONE, RunEnd.FAILED))
-        self.ends[ended.number] = noted
-        if noted.stored and run.owner:
-            self._keep_recent(noted)
+        listed = ListedEnd(ended.run, run.owner, run.epoch, ended.end, now_ms, run.submission)
+        self._record_outcome(run, ended.end, now_ms)
+        listed.stored = not (run.durable and ended.end in (RunEnd.DONE, RunEnd.FAILED))
+        self.ends[ended.number] = listed
+        if listed.stored and run.owner:
+            self._remember_recent_end(listed)
         event = _event(run, orders.ENDED, ended.end.value, ended.number)
         return run, event
 
-    def _keep_recent(self, noted: ListedEnd) -> None:
-        """Keep an end for as long as its owner may still count on the run."""
+    def _remember_recent_end(self, listed: ListedEnd) -> None:
+        """Remember an end for as long as its owner may still expect the run to be at work."""
         recent = self.recent_ends
-        recent.pop(noted.key, None)
-        recent[noted.key] = noted
-        while (oldest := next(iter(recent.values()))).noted_ms < noted.noted_ms - SILENCE_LIMIT_MS:
+        recent.pop(listed.key, None)
+        recent[listed.key] = listed
+        while (oldest := next(iter(recent.values()))).noted_ms < listed.noted_ms - SILENCE_LIMIT_MS:
             del recent[oldest.key]
 
     def recent_ends_of(self, entry: str, now_ms: int) -> tuple[orders.HeldRun, ...]:
-        """Return what ended lately for callers that wait at an entry, told once more on a join."""
+        """Return the recent ends of an entry's non-durable jobs, resent when the entry joins."""
         return tuple(
-            noted.to_row(0)
-            for noted in self.recent_ends.values()
-            if entry_of_owner(noted.owner) == entry and now_ms - noted.noted_ms <= SILENCE_LIMIT_MS
+            listed.to_row(0)
+            for listed in self.recent_ends.values()
+            if entry_of_owner(listed.owner) == entry
+            and now_ms - listed.noted_ms <= SILENCE_LIMIT_MS
         )
 
-    def _note_running(
+    def _record_running(
         self, key: RunKey, percent: int, now_ms: int
     ) -> list[tuple[Run, orders.RunEvent]]:
         run = self.runs.get(key)
@@ -337,13 +339,13 @@
 
     @staticmethod
     def mark_started(run: Run, now_ms: int) -> None:
-        """Note that a run is at work."""
+        """Record that a run is at work."""
         run.phase = orders.HELD_RUNNING
         run.started_ms = now_ms
         run.percent_ms = now_ms
 
-    def _judge_end(self, run: Run, end: RunEnd, now_ms: int) -> None:
-        """Learn from an end whether the runner does its work, and how fast."""
+    def _record_outcome(self, run: Run, end: RunEnd, now_ms: int) -> None:
+        """Update the runner's health and speed from an end."""
         if end is RunEnd.DONE:
             run.done_ms = now_ms
             ran_ms = now_ms - run.started_ms if run.started_ms else 0
@@ -352,8 +354,8 @@
         elif end is RunEnd.FAILED:
             self.health.record_run_failure(now_ms)
 
-    def _judge_pace(self, run: Run, now_ms: int) -> list[tuple[Run, orders.RunEvent]]:
-        """Tell the owner, now and then, of a run that stands still or crawls."""
+    def _check_progress(self, run: Run, now_ms: int) -> list[tuple[Run, orders.RunEvent]]:
+        """Return an event for the owner if a run is stalled or slow, at a limited rate."""
         if run.stopping or run.phase == orders.HELD_STARTING:
             return []
         if now_ms - run.straggler_reported_ms < STRAGGLER_REPEAT_MS:
@@ -365,7 +367,7 @@
             reason = orders.STALLED
             if not run.straggler_reported_ms:
                 self.health.record_run_failure(now_ms)
-        elif _crawls(pace):
+        elif _is_slow(pace):
             reason = orders.SLOW
             self.speed.record_projection(run.key, pace.total_ms, run.estimate_ms, now_ms)
         if not reason:
@@ -382,28 +384,28 @@
         return [(run, event)]
 
     def _others_permille(self, run: Run, now_ms: int) -> int:
-        """Return how long other jobs' runs here take against their estimates, 0 if not known.
+        """Return the ratio of run time to estimate for other jobs' runs here, 0 if not known.
 
-        Tasks of one job are alike, and so is how far they are off their estimate.
+        Runs of the same job are left out, as their estimates are off by the same factor.
         """
         job_id = run.key.task.job_id
         others = [
             other.pace(now_ms)
             for other in reversed(self.recent_runs)
             if other.key.task.job_id != job_id
-            and LEAST_AGE_MS < now_ms - other.started_ms < RECENT_MS
+            and MIN_AGE_MS < now_ms - other.started_ms < RECENT_MS
             and (other.done_ms or other.key in self.runs)
         ]
         return usual_permille(others[:RECENT_RUNS])
 
     @staticmethod
     def _never_started(run: Run, clock_ms: int) -> bool:
-        """Tell whether a start without an answer can't take effect any more."""
-        unsettled = run.phase == orders.HELD_STARTING and not run.calling
-        return unsettled and clock_ms > run.start_expires_ms
+        """Return whether an unanswered start can no longer take effect."""
+        unanswered = run.phase == orders.HELD_STARTING and not run.calling
+        return unanswered and clock_ms > run.start_expires_ms
 
     def mark_ends_stored(self, numbers: tuple[int, ...], superseded: tuple[int, ...]) -> None:
-        """Note that ends need not be kept; those outrun only once the lease has lapsed."""
+        """Mark ends as stored, and superseded ends as to be stored when the lease has lapsed."""
         for number in numbers:
             if number in self.ends:
                 self.ends[number].stored = True
@@ -412,17 +414,17 @@
                 self.ends[number].superseded = True
 
     def awaits_lapse(self) -> bool:
-        """Tell whether an end waits for the lease to lapse before it may be let go."""
+        """Return whether an end is to be acknowledged only once the lease has lapsed."""
         return any(end.superseded and not end.stored for end in self.ends.values())
 
     def record_lapse(self) -> None:
-        """Note that the lease has lapsed: ends from before it count for nothing."""
+        """Record that the lease has lapsed: superseded ends may be acknowledged."""
         for end in self.ends.values():
             if end.superseded:
                 end.stored = True
 
     def advance_acknowledged(self) -> int:
-        """Return the number up to which the runner may forget its ends."""
+        """Advance and return the number up to which the runner may forget its ends."""
         while (
             self.acknowledged_end + 1 in self.ends and self.ends[self.acknowledged_end + 1].stored
         ):
@@ -431,7 +433,7 @@
         return self.acknowledged_end
 
     def held_runs(self, job_ids: frozenset[str] | None = None) -> tuple[orders.HeldRun, ...]:
-        """Return all runs and ends, or those of some jobs."""
+        """Return all runs and unstored ends, or only those of some jobs."""
         rows = [
             orders.HeldRun(
                 run.key.task.text,
@@ -451,18 +453,18 @@
     def held_owners(self, now_ms: int) -> frozenset[HeldOwner]:
         """Return the owners of all runs, and of all ends that are not stored yet.
 
-        Young ends without a known owner don't count: after a restart most are of jobs whose
-        callers have left, and whichever entry hears of them finds that out.
+        Recent ends without a known owner don't count: after a restart most are of jobs whose
+        callers have disconnected, and any entry that receives them finds that out.
         """
         owners = {HeldOwner(run.owner, run.durable) for run in self.runs.values()}
         for end in self.ends.values():
-            is_young = now_ms - end.noted_ms < STRAY_END_MS
+            is_young = now_ms - end.noted_ms < OWNERLESS_END_MS
             if not end.stored and not (end.owner == UNKNOWN_OWNER and is_young):
                 owners.add(HeldOwner(end.owner, True))
         return frozenset(owners)
 
     def event_for_adopter(self, key: RunKey, submission: int) -> orders.RunEvent | None:
-        """Return what its new owner has to hear of a run that ended before it was adopted."""
+        """Return the event for a run's new owner if the run ended before it was adopted."""
         if key in self.runs:
             return None
         for number, end in self.ends.items():
@@ -474,20 +476,20 @@
         )
 
     def set_gone(self) -> list[tuple[Run, orders.RunEvent]]:
-        """Note that this incarnation is gone with all its runs; return them as lost."""
+        """Mark this incarnation as gone; return its runs as lost."""
         self.gone = True
         return self.lose(list(self.runs.values()), orders.RUNNER_GONE)
 
     def lose(self, runs: list[Run], reason: str) -> list[tuple[Run, orders.RunEvent]]:
-        """Give up runs whose end nobody will list; return them as lost."""
+        """Remove runs whose end the runner will not list; return them as lost."""
         for run in runs:
             self.drop(run.key)
         return [(run, _event(run, orders.LOST, reason)) for run in runs]
 
 
-def _crawls(pace: Pace) -> bool:
-    limit_ms = CRAWL_FACTOR * pace.estimate_ms + CRAWL_SLACK_MS
-    return bool(pace.estimate_ms) and pace.age_ms > LEAST_AGE_MS and pace.total_ms > limit_ms
+def _is_slow(pace: Pace) -> bool:
+    limit_ms = SLOW_FACTOR * pace.estimate_ms + SLOW_SLACK_MS
+    return bool(pace.estimate_ms) and pace.age_ms > MIN_AGE_MS and pace.total_ms > limit_ms
 
 
 def _event(run: Run, kind: str, detail: str = "", end_number: int = 0) -> orders.RunEvent:
@@ -504,11 +506,11 @@
 
 
 def started(run: Run) -> orders.RunEvent:
-    """Return the event that a run is at work."""
+    """Return the event for a run that is at work."""
     return _event(run, orders.STARTED)
 
 
 def not_started(run_key: RunKey, epoch: int, reason: str, submission: int) -> orders.RunEvent:
-    """Return the event that a run was not started, and never will be."""
+    """Return the event for a run that was not started and never will be."""
     task, kind = run_key.task.text, orders.NOT_STARTED
     return orders.RunEvent(task, run_key.attempt, epoch, kind, reason, submission=submission)
