--- a/src/gapdrum/core/orders.py
+++ b/src/gapdrum/core/orders.py
@@ -1,8 +1,8 @@
 """The messages between entries and agents on the platform.
 
-An agent states its clock in each beat, and an entry echoes the last one. An agent acts for an
-entry only for a stated time after the clock that was echoed, so that an entry that has not
-heard an agent for longer knows that nothing runs there in its name. No two clocks are compared.
+An agent sends a reading of its clock in each heartbeat, and an entry echoes the last one. The
+agent acts for the entry only for a fixed time after the echoed reading, so an entry that has not
+heard from the agent for longer knows that nothing runs there for it. No two clocks are compared.
 """
 
 import attrs
@@ -15,29 +15,30 @@
 MAX_LABELS = 64
 MAX_CONFIGURATION_BYTES = 1024 * 1024
 
-# An order waits no longer than this on its way; a frozen agent must not start what is outdated.
+# An agent rejects a start order that was sent longer ago: after a pause it must not start
+# outdated work.
 ORDER_VALID_MS = 1_000
 BEAT_INTERVAL_MS = 250
 
-# What an agent says of a run.
+# Kinds of run events.
 STARTED = "started"
 NOT_STARTED = "not_started"
 ENDED = "ended"
 LOST = "lost"
 STRAGGLING = "straggling"
 
-# Why a run straggles.
+# Why a run is a straggler.
 STALLED = "stands_still"
 SLOW = "crawls"
 
-# Phases of a run that an agent holds.
+# Phases of the runs in an agent's holdings.
 HELD_STARTING = "starting"
 HELD_RUNNING = "running"
 HELD_ENDED = "ended"
 
-# Why an agent did not start what was ordered.
+# Why an agent did not start an ordered run.
 NO_ROOM = "no_room"
-ROOM_KEPT = "room_kept"  # for queues that can't wait for it
+ROOM_KEPT = "room_kept"  # reserved for other queues
 JOB_SUPERSEDED = "job_superseded"
 ORDER_EXPIRED = "order_expired"
 RUNNER_GONE = "runner_gone"
@@ -45,15 +46,16 @@
 RUNNER_REJECTED = "runner_rejected"
 ZONE_CLOSED = "zone_closed"
 START_UNANSWERED = "start_unanswered"
-RUN_PRESENT = "run_present"  # one that an earlier submission of the job has left there
-# Placed there again at once, a task is rejected a thousand times a second.
+RUN_PRESENT = "run_present"  # the runner still has the run of an earlier submission of the job
+# Reasons that persist at the runner: a task that is placed there again at once is rejected a
+# thousand times a second.
 REJECTED_THERE = (RUNNER_REJECTED, RUN_PRESENT)
 
-# Why a run was lost, beside that its runner is gone.
+# Why a run was lost, other than RUNNER_GONE.
 LEASE_LAPSED = "lease_lapsed"
 ENDED_BEFORE = "ended_before_adoption"
 
-# States of a runner.
+# States of a runner that are reported to entries.
 READY = "ready"
 DRAINING = "draining"
 ZONE_DRAINED = "zone_drained"
@@ -75,7 +77,7 @@
 @message(41)
 @attrs.frozen
 class AgentBeat:
-    """The agent lives; the entry echoes its clock."""
+    """A heartbeat of the agent; the entry echoes its clock."""
 
     clock_ms: int = count_field()
 
@@ -83,7 +85,7 @@
 @message(42)
 @attrs.frozen
 class RunnerReport:
-    """What a runner is and its state; told when an entry joins and when it changes.
+    """A runner's description and state; sent when an entry joins and when they change.
 
     A ``RoomReport`` follows it.
     """
@@ -98,7 +100,7 @@
 
     @property
     def capacity(self) -> Resources:
-        """Return all the room of the runner."""
+        """Return the runner's whole capacity."""
         return Resources(
             self.capacity_cpu_milli, self.capacity_memory_mb, self.capacity_accelerators
         )
@@ -106,7 +108,7 @@
 
 @attrs.frozen
 class KeptRoom:
-    """How much of the free room of a runner is kept from a queue."""
+    """How much of a runner's free room is reserved for other queues than this one."""
 
     queue: str = text_field()
     cpu_milli: int = count_field()
@@ -117,9 +119,9 @@
 class RoomReport:
     """The free room of a runner, which changes with each start and end.
 
-    ``orders`` counts the runs ordered on this stream so far; ``slowness_permille`` is how long
-    its runs take against their estimates, 0 if not known, and ``speed_runs`` by how many of them.
-    Queues that no free room is kept from are not named in ``kept``.
+    ``orders`` counts the runs ordered on this stream so far; ``slowness_permille`` is the ratio of
+    run time to estimate, 0 if not known, measured over ``speed_runs`` runs. ``kept`` lists only
+    the queues that can't use all of the free room.
     """
 
     runner_id: str = text_field()
@@ -139,13 +141,13 @@
 
 @attrs.frozen
 class RunEvent:
-    """What happened to a run; ``detail`` is how it ended, why it did not start, or straggles.
+    """A change of a run; ``detail`` is how it ended, or why it was not started or is a straggler.
 
-    ``end_number`` is the runner's number of the end. Nobody needs to store an end of a job that
-    is not ``durable``. Of a straggling run ``percent`` is how much of its work is done; it has run
-    for ``ran_ms``, will end after ``left_ms`` at its pace, and has stood still for ``stalled_ms``.
-    ``others_permille`` is how long the others beside it take against their estimates. What is
-    not known is 0, and so is ``submission`` for a stored job.
+    ``end_number`` is the runner's number of the end, which needs to be stored only if the job is
+    ``durable``. A straggler has done ``percent`` of its work in ``ran_ms``, is due to end in
+    ``left_ms`` at its pace, and has made no progress for ``stalled_ms``. ``others_permille`` is
+    the ratio of run time to estimate for other jobs' runs at the runner. Unknown figures are 0,
+    and so is the ``submission`` of a durable job.
     """
 
     task: str
@@ -174,9 +176,9 @@
 
 @attrs.frozen
 class HeldRun:
-    """A run that an agent knows: in which phase, and how it ended.
+    """A run or an end that an agent holds: its phase, and how it ended.
 
-    ``submission`` is 0 where it is not known, or the job is stored.
+    ``submission`` is 0 if it is not known or the job is durable.
     """
 
     task: str
@@ -191,7 +193,7 @@
 @message(44)
 @attrs.frozen
 class Holdings:
-    """All runs that an agent knows at one runner, of the named jobs or, without names, of all."""
+    """All runs and ends that an agent holds at a runner, of the named jobs or, if none, of all."""
 
     runner_id: str = text_field()
     jobs: tuple[str, ...] = attrs.field(converter=tuple)
@@ -201,7 +203,7 @@
 @message(47)
 @attrs.frozen
 class AgentLeaving:
-    """The agent holds nothing for the entry, and starts nothing more that came on this stream."""
+    """The agent holds nothing for the entry and starts no further orders from this stream."""
 
 
 @message(49)
@@ -209,7 +211,7 @@
 class ZoneDrainsTold:
     """The availability zones that operators have drained, as of a version of their table.
 
-    Entries and agents tell each other, so one that the store turns away hears of them, too.
+    Entries and agents exchange them, so a process that is cut off from the store learns of them.
     """
 
     version: int = count_field()
@@ -230,8 +232,8 @@
 class EntryGreeting:
     """The first message of an entry on an agent's stream.
 
-    ``former_owners`` are the names that the same process had before it lost its lease: it will
-    claim what runs for the callers that wait there.
+    ``former_owners`` are earlier incarnations of the same process, which ended as it lost its
+    lease: the entry is going to claim the runs of callers that wait there.
     """
 
     owner: str = text_field()
@@ -241,11 +243,11 @@
 @message(51)
 @attrs.frozen
 class BeatEcho:
-    """The last clock that the entry heard of the agent.
+    """The last reading of the agent's clock that the entry received.
 
-    What runs of stored jobs goes on only if the entry holds its lease in the store, as another
-    entry may have taken these jobs over otherwise. ``table_followed`` tells whether the entry
-    follows the operators' table just now, so that the agent need not.
+    Runs of durable jobs continue only while the entry holds its lease in the store, as otherwise
+    another entry may have taken these jobs over. While ``table_followed`` is set, the entry
+    follows the operators' table, and the agent need not.
     """
 
     clock_ms: int = count_field()
@@ -255,7 +257,7 @@
 
 @attrs.frozen
 class OrderedRun:
-    """One task to start; its estimate is for a usual runner as far from its data as this one."""
+    """One task to start; its estimate is for a runner of usual speed, this far from its data."""
 
     step: int
     index: int
@@ -274,11 +276,11 @@
 @message(52)
 @attrs.frozen
 class StartOrder:
-    """Tasks of a job to start at a runner; ``clock_ms`` is the last clock heard of the agent.
+    """Tasks of a job to start at a runner; ``clock_ms`` is the agent's clock as last received.
 
-    ``durable`` tells whether the job is stored. The queue and its priority, 0 for the most urgent
-    one, let the agent weigh the work of all entries. ``submission`` tells the submissions of a job
-    that is not stored from each other: each begins with attempt 1. It is 0 for a stored one.
+    The queue and its priority, 0 for the most urgent one, let the agent weigh the work of all
+    entries. ``submission`` distinguishes the submissions of a non-durable job, each of which begins
+    with attempt 1; it is 0 for a durable job.
     """
 
     runner_id: str = text_field()
@@ -299,7 +301,7 @@
 
 @attrs.frozen
 class NamedRun:
-    """Names a run."""
+    """The task and attempt of a run."""
 
     task: str
     attempt: int
@@ -317,10 +319,10 @@
 @message(54)
 @attrs.frozen
 class EndsStored:
-    """Ends that need not be kept at the runner any more.
+    """Ends that the agent may acknowledge to the runner.
 
-    ``superseded`` are those of tasks that were started anew before the end was known: the runner's
-    lease must lapse before they are let go, as they must not count.
+    ``superseded`` are ends of tasks that were started anew before the end was known. They must not
+    count, so the agent acknowledges them only once the runner's lease has lapsed.
     """
 
     runner_id: str = text_field()
@@ -330,9 +332,9 @@
 
 @attrs.frozen
 class UpstreamDemand:
-    """How urgent the first job is that waits for room at an upstream, its queue, how many wait.
+    """The jobs that wait for room at an upstream: their number, the first one's urgency and queue.
 
-    Less free room than ``least_cpu_milli`` is of no use to any of them.
+    None of them can use less free room than ``least_cpu_milli``.
     """
 
     upstream: str
@@ -345,18 +347,18 @@
 @message(57)
 @attrs.frozen
 class RoomDemand:
-    """What the entry waits for; an upstream that is not named has room enough for it."""
+    """The room that the entry waits for; an unlisted upstream has enough room for it."""
 
     upstreams: tuple[UpstreamDemand, ...] = rows_field(UpstreamDemand, MAX_ROWS)
 
 
 @attrs.frozen
 class QueueDemand:
-    """What a queue has been asking for lately, in millionths of the room that the entry sees.
+    """The recent demand of a queue, in millionths of the room that the entry sees.
 
     A run takes about ``run_ms``, and a job may wait for about ``patience_ms`` until it begins.
-    ``deviation_ppm`` is the standard deviation of what is asked for at a time. The rest is the
-    queue's part in the operators' configuration.
+    ``asked_ppm`` is the mean of the demand and ``deviation_ppm`` its standard deviation. The other
+    fields come from the operators' configuration.
     """
 
     upstream: str = text_field()
@@ -374,7 +376,7 @@
 @message(65)
 @attrs.frozen
 class QueueDemands:
-    """What the queues ask for at an entry; it replaces what the entry told before."""
+    """The demand of all queues at an entry; it replaces the entry's previous message."""
 
     queues: tuple[QueueDemand, ...] = rows_field(QueueDemand, MAX_ROWS)
 
@@ -390,7 +392,7 @@
 @message(55)
 @attrs.frozen
 class JobsClaimed:
-    """The entry owns the jobs from now on; lower epochs start nothing. Holdings answer it."""
+    """The entry owns the jobs from now on; the agent starts no lower epochs and sends holdings."""
 
     jobs: tuple[JobEpoch, ...] = rows_field(JobEpoch, MAX_ROWS)
 
@@ -398,9 +400,9 @@
 @message(48)
 @attrs.frozen
 class JobCancelled:
-    """From one entry to another: a job of that one was cancelled, under a higher epoch.
+    """From one entry to another: the receiver's job was cancelled, under a higher epoch.
 
-    It is the only message on its stream, which the receiver ends once it has read it.
+    It is the only message on its stream, which the receiver ends after reading it.
     """
 
     job_id: str = text_field()
@@ -410,9 +412,9 @@
 @message(75)
 @attrs.frozen
 class ConfigurationAsked:
-    """From one entry to another: asks for the configuration in force there.
+    """From one entry to another: requests the configuration in force there.
 
-    It is the only message of the asker on its stream. The receiver ends the stream once it has
+    It is the only message of the requester on its stream. The receiver ends the stream once it has
     answered, or at once if it has no configuration either.
     """
 
@@ -432,7 +434,7 @@
 
 @attrs.frozen
 class AdoptedRun:
-    """A run that goes on for this entry, and the room that it takes."""
+    """A run that the agent continues for this entry, and the room that the run takes."""
 
     task: str
     attempt: int
@@ -452,7 +454,7 @@
 @message(56)
 @attrs.frozen
 class AdoptRuns:
-    """Runs at a runner that go on for this entry."""
+    """Runs at a runner that the agent is to continue for this entry."""
 
     runner_id: str = text_field()
     runs: tuple[AdoptedRun, ...] = rows_field(AdoptedRun, MAX_ROWS)
