--- a/src/gapdrum/core/poll_schedule.py
+++ b/src/gapdrum/core/poll_schedule.py
@@ -1,37 +1,37 @@
-"""When a runner is looked at, which answers are still news, and whether it can be reached.
+"""When a runner is polled, which answers are outdated, and whether the runner can be reached.
 
-One look at a time is enough while answers come: it waits at the runner for the next end. A lost
-answer hides all ends until it is given up, though, for longer than a short task's slack. So for
-some time after one was lost the looks are short, and the next begins before the last is answered.
+One poll at a time, which waits at the runner for the next end, is enough while answers arrive. A
+lost answer hides all ends until the poll times out, which takes longer than a short task's slack.
+So for some time after a loss polls are short, and the next one begins before the last is answered.
 """
 
 from collections.abc import Callable
 
 import attrs
 
-# A look waits so long for an end: five renewals fit into a lease of 1 s.
+# How long a poll waits for an end: five renewals fit into a lease of 1 s.
 POLL_WAIT_MS = 200
-POLL_ANSWER_MS = 150  # how much later than it waits a look is answered at most
-# After a lost answer others are taken to be lost for so long.
+POLL_ANSWER_MS = 150  # the time to answer a poll beyond its wait
+# How long after a lost answer the connection counts as lossy.
 LOSSY_MS = 3_000
-# While answers are lost: how long a look waits, and when the next one begins beside it. A short
-# task's slack is about 60 ms, so that two answers in a row may be lost.
+# While answers are lost: how long a poll waits, and the interval at which polls begin. A short
+# task's slack is about 60 ms, so two answers in a row may be lost.
 SHORT_WAIT_MS = 25
 STAGGER_MS = 25
-# Each answer costs processor time, and each lost one a connection, however many ends there are.
-LEAST_GAP_MS = 15
-MOST_UNDER_WAY = 4
-# A look that should have been answered so long ago, and was not though a later one was, is lost.
-OVERTAKEN_MS = 30
-# A runner can't be reached after so many looks in a row without an answer, or a whole look and
-# the next one that is due to be answered at once.
-MOST_FAILURES = 3
-UNHEARD_MS = POLL_WAIT_MS + POLL_ANSWER_MS + 50
+# Limits of the rate of polls: each answer costs processor time, and each lost one a connection.
+MIN_POLL_INTERVAL_MS = 15
+MAX_PENDING_POLLS = 4
+# A poll that is overdue by this much while a later one has been answered counts as lost.
+OVERDUE_MS = 30
+# A runner counts as unreachable after this many failed polls in a row, or after the time of a
+# whole poll and of the next one, which does not wait at the runner.
+MAX_FAILURES = 3
+UNREACHABLE_AFTER_MS = POLL_WAIT_MS + POLL_ANSWER_MS + 50
 
 
 @attrs.frozen
 class Poll:
-    """A look under way; ``number`` counts the looks at this runner."""
+    """A pending poll; ``number`` counts the polls of this runner."""
 
     number: int
     began_ms: int
@@ -44,137 +44,131 @@
 
 @attrs.define
 class PollSchedule:
-    """The looks at one incarnation of a runner. The time is given.
+    """The polls of one incarnation of a runner. The caller passes the time.
 
     ::
 
-        turn = schedule.begin(200, now_ms)
-        schedule.note_lost(now_ms)              # a start was not answered
-        schedule.next_ms(now_ms)                # in 25 ms, beside the one under way
+        poll = schedule.begin(200, now_ms)
+        schedule.record_lost_answer(now_ms)     # a start was not answered
+        schedule.next_ms(now_ms)                # in 25 ms, beside the pending poll
 
-    ``on_answer_lost`` is called when a first answer is lost: the next look may be due by then.
+    ``on_answer_lost`` is called when a first answer is lost, as the next poll is then due earlier.
     """
 
     on_answer_lost: Callable[[], None] = _no_listener
     heard_ms: int = 0
-    failures: int = 0  # looks in a row without an answer
+    failures: int = 0  # consecutive polls without an answer
     unreachable: bool = False
     _lossy_until_ms: int = 0
-    _shows_at_once: bool = False
-    _under_way: dict[int, Poll] = attrs.Factory(dict)
-    _begun: int = 0
-    _began_ms: int = 0
-    _answered: int = 0  # the number of the latest look that was answered, and when that was
-    _answered_ms: int = 0
-    _picture_clock_ms: int = 0
-    _picture_begun: int = 0
+    _skip_next_wait: bool = False
+    _pending: dict[int, Poll] = attrs.Factory(dict)
+    _last_begun: int = 0
+    _last_begun_ms: int = 0
+    _last_answered: int = 0  # the number of the latest answered poll, and when it was answered
+    _last_answered_ms: int = 0
+    _snapshot_clock_ms: int = 0
+    _begun_at_snapshot: int = 0
 
     def is_lossy(self, now_ms: int) -> bool:
-        """Tell whether an answer was lost lately."""
+        """Return whether an answer was lost recently."""
         return now_ms < self._lossy_until_ms
 
     @property
     def has_pending_poll(self) -> bool:
-        """Tell whether a look has not been answered yet."""
-        return bool(self._under_way)
-
-    # Beginning.
+        """Return whether a poll has not been answered yet."""
+        return bool(self._pending)
 
     def next_ms(self, now_ms: int) -> int | None:
-        """Return when the next look is to begin, None while it waits for the one under way.
+        """Return when the next poll is due, None while it depends on a pending one.
 
-        A runner that answers nothing is not called more often for that.
+        An unreachable runner is not polled more often for its lost answers.
         """
-        hurried = self.is_lossy(now_ms) and not self.unreachable
-        if not self._under_way:
-            return max(now_ms, self._began_ms + LEAST_GAP_MS) if hurried else now_ms
-        if not hurried or len(self._under_way) >= MOST_UNDER_WAY:
+        is_urgent = self.is_lossy(now_ms) and not self.unreachable
+        if not self._pending:
+            return max(now_ms, self._last_begun_ms + MIN_POLL_INTERVAL_MS) if is_urgent else now_ms
+        if not is_urgent or len(self._pending) >= MAX_PENDING_POLLS:
             return None
-        return max(now_ms, self._began_ms + STAGGER_MS)
+        return max(now_ms, self._last_begun_ms + STAGGER_MS)
 
-    def begin(self, most_wait_ms: int, now_ms: int) -> Poll:
-        """Begin a look that waits at most so long; return its turn."""
-        wait_ms = most_wait_ms
-        if self.unreachable or self._shows_at_once:
+    def begin(self, max_wait_ms: int, now_ms: int) -> Poll:
+        """Begin a poll that waits at the runner for at most this time."""
+        wait_ms = max_wait_ms
+        if self.unreachable or self._skip_next_wait:
             wait_ms = 0
-            self._shows_at_once = False
+            self._skip_next_wait = False
         elif self.is_lossy(now_ms):
-            wait_ms = min(most_wait_ms, SHORT_WAIT_MS)
-        self._begun += 1
-        self._began_ms = now_ms
-        turn = Poll(self._begun, now_ms, wait_ms)
-        self._under_way[turn.number] = turn
-        return turn
-
-    # Ending.
+            wait_ms = min(max_wait_ms, SHORT_WAIT_MS)
+        self._last_begun += 1
+        self._last_begun_ms = now_ms
+        poll = Poll(self._last_begun, now_ms, wait_ms)
+        self._pending[poll.number] = poll
+        return poll
 
     def end(self, number: int) -> None:
-        """Note that a look is under way no more."""
-        self._under_way.pop(number, None)
+        """Remove a poll that is no longer pending."""
+        self._pending.pop(number, None)
 
     def record_answer(self, number: int, now_ms: int) -> None:
-        """Note that a look was answered."""
+        """Record the answer to a poll."""
         self.record_contact(now_ms)
-        if number > self._answered:
-            self._answered = number
-            self._answered_ms = now_ms
+        if number > self._last_answered:
+            self._last_answered = number
+            self._last_answered_ms = now_ms
 
     def record_contact(self, now_ms: int) -> None:
-        """Note that the runner has answered a call."""
+        """Record that the runner has answered a call."""
         self.heard_ms = now_ms
         self.failures = 0
 
     def record_failure(self) -> None:
-        """Note a look without an answer."""
+        """Record a poll without an answer."""
         self.failures += 1
 
     def record_lost_answer(self, now_ms: int) -> None:
-        """Note a call that was sent on a sound connection and not answered in time."""
+        """Record a call that was sent on an intact connection and timed out."""
         was_lossy = self.is_lossy(now_ms)
         self._lossy_until_ms = now_ms + LOSSY_MS
         if not was_lossy:
-            self._shows_at_once = True  # what the lost answer would have told
+            self._skip_next_wait = True  # the next poll replaces the lost answer
             self.on_answer_lost()
 
     def list_lost_polls(self, now_ms: int) -> list[int]:
-        """Return the looks whose answers are lost, as a later one was answered meanwhile."""
+        """Return the overdue polls whose answers are lost, as a later poll was answered."""
         return [
-            turn.number
-            for turn in self._under_way.values()
-            if turn.number < self._answered and now_ms >= self._lost_at_ms(turn)
+            poll.number
+            for poll in self._pending.values()
+            if poll.number < self._last_answered and now_ms >= self._lost_at_ms(poll)
         ]
 
-    def _lost_at_ms(self, turn: Poll) -> int:
-        return max(self._answered_ms, turn.began_ms + turn.wait_ms) + OVERTAKEN_MS
+    def _lost_at_ms(self, poll: Poll) -> int:
+        return max(self._last_answered_ms, poll.began_ms + poll.wait_ms) + OVERDUE_MS
 
     def next_wakeup_ms(self, now_ms: int) -> int | None:
-        """Return when a look is to begin, or to be given up, if nothing is heard before."""
+        """Return when a poll is due, or counts as lost, if no answer arrives before."""
         times = [
-            self._lost_at_ms(turn)
-            for turn in self._under_way.values()
-            if turn.number < self._answered
+            self._lost_at_ms(poll)
+            for poll in self._pending.values()
+            if poll.number < self._last_answered
         ]
         next_ms = self.next_ms(now_ms)
         if next_ms is not None:
             times.append(next_ms)
         return min(times, default=None)
 
-    # Judging.
-
     def is_news(self, number: int, clock_ms: int) -> bool:
-        """Tell whether a look shows a newer picture than those before, and note it.
+        """Return whether a poll's snapshot is newer than those before, and record it if so.
 
-        Answers of looks that overlapped may overtake each other. What an older one shows has
-        either been shown, or is listed again.
+        Answers to overlapping polls may arrive out of order. The content of an older one is either
+        known already or listed again by a later one.
         """
-        if number <= self._picture_begun and clock_ms <= self._picture_clock_ms:
+        if number <= self._begun_at_snapshot and clock_ms <= self._snapshot_clock_ms:
             return False
-        self._picture_begun = self._begun
-        self._picture_clock_ms = clock_ms
+        self._begun_at_snapshot = self._last_begun
+        self._snapshot_clock_ms = clock_ms
         return True
 
     def is_unresponsive(self, now_ms: int) -> bool:
-        """Tell whether the runner has left so much unanswered that it can't be reached."""
-        if self.failures >= MOST_FAILURES:
+        """Return whether the runner has left enough polls unanswered to count as unreachable."""
+        if self.failures >= MAX_FAILURES:
             return True
-        return bool(self.failures) and now_ms - self.heard_ms > UNHEARD_MS
+        return bool(self.failures) and now_ms - self.heard_ms > UNREACHABLE_AFTER_MS
