--- a/src/gapdrum/core/fleet.py
+++ b/src/gapdrum/core/fleet.py
@@ -1,4 +1,4 @@
-"""The agents and runners that an entry sees, and what their silence means."""
+"""The agents and runners that an entry sees, and when silent ones are given up."""
 
 from collections import Counter
 from collections.abc import Collection
@@ -15,7 +15,7 @@
 
 @attrs.frozen
 class LostRunner:
-    """A runner that is not seen any more, and the tasks that were placed there."""
+    """A runner that the entry has given up, and the tasks that were placed there."""
 
     runner_id: str
     tasks: tuple[Task, ...]
@@ -24,31 +24,31 @@
 
 @attrs.define
 class Fleet:
-    """All agents and runners by name. The time is given."""
+    """All agents and runners by name. The caller passes the time."""
 
     effects: Effects
     agents: dict[str, AgentView] = attrs.Factory(dict)
     runners: dict[Place, RunnerView] = attrs.Factory(dict)
-    drained_zones: frozenset[str] = frozenset()  # where operators want nothing to be started
+    drained_zones: frozenset[str] = frozenset()  # by operators: no task is placed there
 
     def open_runners(self) -> Collection[RunnerView]:
         """Return the runners outside of drained zones."""
         if not self.drained_zones:
             return self.runners.values()
-        closed = self.drained_zones
-        return [one for one in self.runners.values() if one.agent.zone not in closed]
+        drained = self.drained_zones
+        return [one for one in self.runners.values() if one.agent.zone not in drained]
 
     def count_open_agents(self) -> int:
         """Return how many agents outside of drained zones are connected."""
-        closed = self.drained_zones
-        return sum(one.connected and one.zone not in closed for one in self.agents.values())
+        drained = self.drained_zones
+        return sum(one.connected and one.zone not in drained for one in self.agents.values())
 
     def free_cpu_milli(self) -> int:
-        """Return the processor room that is seen as free, in thousandths of a core."""
+        """Return the free processor room that the entry sees, in thousandths of a core."""
         return sum(max(0, runner.free.cpu_milli) for runner in self.open_runners())
 
     def room_cpu_milli(self) -> dict[str, int]:
-        """Return all the processor room that is seen, by upstream."""
+        """Return the whole processor room that the entry sees, by upstream."""
         room: Counter[str] = Counter()
         for runner in self.open_runners():
             if runner.state in (orders.READY, orders.SUSPECT):
@@ -56,12 +56,12 @@
         return room
 
     def free_permille(self) -> int:
-        """Return the share of the processor room that is seen as free."""
+        """Return the free share of the processor room that the entry sees."""
         total = sum(runner.capacity.cpu_milli for runner in self.open_runners())
         return PERMILLE * self.free_cpu_milli() // total if total else 0
 
     def agent_joined(self, greeting: orders.AgentGreeting, now_ms: int) -> AgentView:
-        """Take an agent's new stream."""
+        """Register an agent's new stream."""
         view = self.agents.get(greeting.agent)
         if view is None or view.incarnation != greeting.incarnation:
             view = AgentView(
@@ -78,20 +78,20 @@
         return view
 
     def agent_left(self, view: AgentView) -> None:
-        """Note that an agent's stream has ended; what runs there goes on for a while."""
+        """Record that an agent's stream has ended; its runs continue until their grant ends."""
         view.connected = False
         self.effects.note("agent_disconnected", agent=view.agent)
 
     def agent_departed(self, view: AgentView) -> list[LostRunner]:
-        """Note that an agent serves other entries from now on, and holds nothing for this one."""
+        """Remove an agent that has left for other entries and holds nothing for this one."""
         self.agents.pop(view.agent, None)
         self.effects.note("agent_departed", agent=view.agent)
-        return [self._lose(one, "agent_departed") for one in self._runners_of(view.agent)]
+        return [self._remove(one, "agent_departed") for one in self._runners_of(view.agent)]
 
     def apply_report(
         self, view: AgentView, report: orders.RunnerReport, now_ms: int
     ) -> LostRunner | None:
-        """Take what a runner is, and its state; return the runner if it is gone."""
+        """Apply a runner's description and state; return the runner if it is gone."""
         place = Place(view.agent, report.runner_id)
         runner = self.runners.get(place)
         if runner is None:
@@ -102,30 +102,30 @@
         if runner.state != report.state:
             self.effects.note("runner_state", runner=report.runner_id, state=report.state)
         runner.apply_report(report)
-        return self._lose(runner, "runner_gone") if report.state == orders.GONE else None
+        return self._remove(runner, "runner_gone") if report.state == orders.GONE else None
 
     def apply_room(self, view: AgentView, report: orders.RoomReport) -> None:
-        """Take a runner's free room; of one that was lost meanwhile, nothing is known."""
+        """Apply a report of a runner's free room; ignore it if the runner was lost meanwhile."""
         runner = self.runners.get(Place(view.agent, report.runner_id))
         if runner is not None:
             runner.apply_room(report)
 
     def expire_silent(self, now_ms: int) -> list[LostRunner]:
-        """Give up agents, and runners, that were silent until nothing can run there any more."""
+        """Remove agents and runners silent for so long that no run of this entry is left there."""
         lost = []
         for view in list(self.agents.values()):
             silent_ms = now_ms - view.heard_ms
             if silent_ms > run_bounds.SILENCE_LIMIT_MS:
                 del self.agents[view.agent]
                 self.effects.note("agent_lost", agent=view.agent, silent_ms=silent_ms)
-                lost += [self._lose(one, "agent_lost") for one in self._runners_of(view.agent)]
+                lost += [self._remove(one, "agent_lost") for one in self._runners_of(view.agent)]
         for runner in list(self.runners.values()):
-            # Its agent is back and has not told of it: it is gone, or can't be reached.
+            # The agent has rejoined without reporting the runner, which is gone or unreachable.
             if not runner.synced and now_ms - runner.unsynced_ms > run_bounds.SILENCE_LIMIT_MS:
-                lost.append(self._lose(runner, "runner_not_told"))
+                lost.append(self._remove(runner, "runner_not_told"))
         return lost
 
-    def _lose(self, runner: RunnerView, reason: str) -> LostRunner:
+    def _remove(self, runner: RunnerView, reason: str) -> LostRunner:
         del self.runners[runner.place]
         return LostRunner(runner.place.runner_id, tuple(runner.out), reason)
 
@@ -133,7 +133,7 @@
         return [runner for place, runner in self.runners.items() if place.agent == agent]
 
     def unassign(self, task: Task) -> None:
-        """Take a task off the runner that it was placed at."""
+        """Remove a task from the runner that it was placed at."""
         runner = self.runners.get(task.place) if task.place is not None else None
         if runner is not None:
             runner.out.discard(task)
--- a/src/gapdrum/core/runner_views.py
+++ b/src/gapdrum/core/runner_views.py
@@ -1,4 +1,4 @@
-"""The runners as an entry sees them, by what their agents' streams tell."""
+"""The runners as an entry sees them, from the messages of their agents."""
 
 from collections import deque
 
@@ -8,13 +8,13 @@
 from gapdrum.core.jobs import Place, Task
 from gapdrum.core.models import ZERO_RESOURCES, Resources
 
-# An agent that was not heard for this long gets no new work: three beats have been missed.
-QUIET_MS = 3 * orders.BEAT_INTERVAL_MS
+# An agent gets no new work after this time without a message, when three heartbeats are missing.
+STALE_AGENT_MS = 3 * orders.BEAT_INTERVAL_MS
 
 
 @attrs.define(eq=False)
 class AgentView:
-    """One life of an agent; ``clock_ms`` is the last reading of its clock that was heard."""
+    """One incarnation of an agent; ``clock_ms`` is its clock as last received."""
 
     agent: str
     incarnation: str
@@ -24,16 +24,16 @@
     connected: bool = True
 
     def is_stale(self, now_ms: int) -> bool:
-        """Tell whether the agent was not heard for too long to be given work."""
-        return not self.connected or now_ms - self.heard_ms > QUIET_MS
+        """Return whether the agent has been silent for too long to get new work."""
+        return not self.connected or now_ms - self.heard_ms > STALE_AGENT_MS
 
 
 @attrs.define(eq=False)
 class RunnerView:
-    """A runner; ``unreported_orders`` are the orders that its last report does not include yet.
+    """A runner; ``unreported_orders`` are the orders that its last room report does not include.
 
-    It gets no work before its agent has told on this stream what it holds (``synced``):
-    an order that crossed that statement would look as if it had never arrived.
+    The runner gets no work before its agent has sent its holdings on this stream (``synced``), as
+    an order that crosses them would seem never to have arrived.
     """
 
     place: Place
@@ -54,46 +54,46 @@
     kept_cpu_milli: dict[str, int] = attrs.Factory(dict)  # of the free room, by queue
 
     def apply_report(self, report: orders.RunnerReport) -> None:
-        """Take the agent's statement of what the runner is, and its state."""
+        """Apply the agent's report of the runner's description and state."""
         self.upstream = report.upstream
         self.state = report.state
         self.labels = report.labels
         self.capacity = report.capacity
 
     def apply_room(self, report: orders.RoomReport) -> None:
-        """Take the agent's count of room; orders that it includes are no longer counted here."""
+        """Apply the agent's room report, and drop the orders that it includes."""
         self.reported_free = report.free
         self.slowness_permille = report.slowness_permille
         self.speed_runs = report.speed_runs
         self.kept_cpu_milli = {row.queue: row.cpu_milli for row in report.kept}
         while self.unreported_orders and self.unreported_orders[0][0] <= report.orders:
             self.unreported_orders.popleft()
-        self._count()
+        self._update_free()
 
     def is_kept_from(self, queue: str, room: Resources) -> bool:
-        """Tell whether there is room for a task, and it is kept for other queues."""
+        """Return whether there is room for a task that is reserved for other queues."""
         kept = self.kept_cpu_milli.get(queue, 0)
         return self.free.holds(room) and self.free.cpu_milli - room.cpu_milli < kept
 
     def may_use(self, queue: str, room: Resources) -> bool:
-        """Tell whether there is room for a task that is not kept from its queue."""
+        """Return whether there is room for a task that its queue may use."""
         return self.free.holds(room) and not self.is_kept_from(queue, room)
 
     def order(self, room: Resources) -> None:
-        """Count an order that was sent."""
+        """Record an order that was sent to the agent."""
         self.orders_sent += 1
         self.unreported_orders.append((self.orders_sent, room))
         self.free = self.free - room
 
     def reset_orders(self, now_ms: int) -> None:
-        """Begin counting anew, as the stream is new."""
+        """Reset the order count for a new stream."""
         self.orders_sent = 0
         self.unreported_orders.clear()
         self.synced = False
         self.unsynced_ms = now_ms
-        self._count()
+        self._update_free()
 
-    def _count(self) -> None:
+    def _update_free(self) -> None:
         free = self.reported_free
         for _, room in self.unreported_orders:
             free = free - room
