--- a/src/gapdrum/core/fleet_speeds.py
+++ b/src/gapdrum/core/fleet_speeds.py
@@ -1,4 +1,4 @@
-"""Which runners are faster or slower than is usual, where that matters."""
+"""How much faster or slower than usual runners are, if they differ enough to matter."""
 
 import statistics
 from collections.abc import Mapping, Sequence
@@ -7,55 +7,55 @@
 
 from gapdrum.core.runner_views import RunnerView
 
-# A runner counts as known from so many runs on; fewer may all have been stated too low.
-LEAST_RUNS = 6
-# Objectives leave a task little more than one and a half times its usual time. Where either end of
-# the known runners is no farther from the usual, it does not matter which of them a task gets.
+# A runner's speed is known from this many runs on; the stated work of fewer may all be too low.
+MIN_RUNS = 6
+# Objectives allow a task little more than 1.5 times its usual time. If neither the fastest nor the
+# slowest runners are farther from the usual speed, it does not matter which of them a task gets.
 UNEVEN_FACTOR = 1.5**2
-# The share of the runners that lie beyond either end.
-END_SHARE = 0.1
-# Of fewer known runners a single one that is slow for a while would make out an end.
-LEAST_KNOWN = 4
-# What is known by so many runs is believed by half.
-HALF_TRUSTED_RUNS = 4
+# The share of the runners that is left out as outliers at either end.
+OUTLIER_SHARE = 0.1
+# Among fewer known runners a single one that is slow for a while would count as an end.
+MIN_KNOWN_RUNNERS = 4
+# A speed that is measured over this many runs is weighted half, the usual speed the other half.
+HALF_WEIGHT_RUNS = 4
 USUAL = 1.0
 
 
 @attrs.frozen
 class FleetSpeeds:
-    """How long runs take at runners against the usual time, 1.0 where they are all alike."""
+    """The run times at runners relative to the usual, 1.0 if the runners are alike."""
 
     usual_permille: float = 0.0
     relative: Mapping[RunnerView, float] = attrs.Factory(dict)
     fastest: float = USUAL
 
     def of(self, view: RunnerView | None) -> float:
-        """Return how many times as long as usual runs take at a runner, 1 if it is not known."""
+        """Return the run time at a runner relative to the usual, 1.0 if it is not known."""
         return self.relative.get(view, USUAL)
 
 
 def measure_speeds(views: Sequence[RunnerView]) -> FleetSpeeds:
-    """Return how fast the runners are, by what their agents tell."""
-    told = [view.slowness_permille for view in views if view.slowness_permille]
-    if not told:
+    """Return the speeds of the runners from their agents' reports."""
+    reported = [view.slowness_permille for view in views if view.slowness_permille]
+    if not reported:
         return FleetSpeeds()
-    usual = statistics.median(told)
-    known = [view for view in views if view.slowness_permille and view.speed_runs >= LEAST_RUNS]
+    usual = statistics.median(reported)
+    known = [view for view in views if view.slowness_permille and view.speed_runs >= MIN_RUNS]
     if not _are_uneven(sorted(view.slowness_permille for view in known)):
         return FleetSpeeds(usual)
-    relative = {view: _believed(view, usual) for view in known}
+    relative = {view: _weighted_slowness(view, usual) for view in known}
     fastest = min(USUAL, *relative.values())
     return FleetSpeeds(usual, relative, fastest)
 
 
 def _are_uneven(ordered: list[int]) -> bool:
-    if len(ordered) < LEAST_KNOWN:
+    if len(ordered) < MIN_KNOWN_RUNNERS:
         return False
-    beyond = int(END_SHARE * len(ordered))
+    beyond = int(OUTLIER_SHARE * len(ordered))
     return ordered[-1 - beyond] >= UNEVEN_FACTOR * ordered[beyond]
 
 
-def _believed(view: RunnerView, usual_permille: float) -> float:
-    """Return a runner's relative slowness, the nearer to the usual the less is known of it."""
-    trust = view.speed_runs / (view.speed_runs + HALF_TRUSTED_RUNS)
-    return USUAL + trust * (view.slowness_permille / usual_permille - USUAL)
+def _weighted_slowness(view: RunnerView, usual_permille: float) -> float:
+    """Return a runner's relative run time, nearer to the usual the fewer runs are known."""
+    weight = view.speed_runs / (view.speed_runs + HALF_WEIGHT_RUNS)
+    return USUAL + weight * (view.slowness_permille / usual_permille - USUAL)
--- a/src/gapdrum/core/runner_health.py
+++ b/src/gapdrum/core/runner_health.py
@@ -1,20 +1,21 @@
-"""Whether a runner does its work: failures, and runs that stand still."""
+"""The health of a runner: its ejection after failed or stalled runs, and its return."""
 
 import attrs
 
-# A sound runner fails one run in 500; two in a row without a run that is done are a sign.
+# A healthy runner fails one run in 500, so two failures without a success between them are
+# suspicious.
 FAILURES_UNTIL_SUSPECT = 2
-# How long a suspect runner gets no work before a trial run. A trial that goes wrong costs one
-# job its time, but each second of rest of a sound runner costs the work of all its cores: rests
-# that doubled kept a runner of 32 cores away for 5 s after it worked again.
+# How long an ejected runner gets no work before a trial run. It does not grow: a failed trial
+# costs one job's time, but each second without a healthy runner costs the work of all its cores,
+# and ejections that doubled kept a runner of 32 cores away for 5 s after it had recovered.
 EJECTION_MS = 1_500
 
 
 @attrs.define
 class RunnerHealth:
-    """Strikes of one runner, as its agent sees them.
+    """The failures of one runner, as its agent sees them.
 
-    A suspect runner rests; after that it is tried with one run at a time until one is done.
+    After its ejection a runner is half-open: it gets one run at a time until one succeeds.
     """
 
     consecutive_failures: int = 0
@@ -22,13 +23,13 @@
     half_open: bool = False
 
     def record_run_success(self) -> None:
-        """Note a run that was done: the runner works."""
+        """Record a run that succeeded: the runner is healthy."""
         self.consecutive_failures = 0
         self.half_open = False
         self.ejected_until_ms = 0
 
     def record_run_failure(self, now_ms: int) -> None:
-        """Note a run that failed or stands still."""
+        """Record a run that failed or is stalled."""
         self.consecutive_failures += 1
         if self.half_open or self.consecutive_failures >= FAILURES_UNTIL_SUSPECT:
             self.ejected_until_ms = now_ms + EJECTION_MS
@@ -36,7 +37,7 @@
             self.consecutive_failures = 0
 
     def is_ejected(self, now_ms: int) -> bool:
-        """Tell whether the runner gets no work now; the end of a rest begins a trial."""
+        """Return whether the runner gets no work now; after the ejection it is half-open."""
         if not self.ejected_until_ms:
             return False
         if now_ms < self.ejected_until_ms:
--- a/src/gapdrum/core/runner_models.py
+++ b/src/gapdrum/core/runner_models.py
@@ -1,4 +1,4 @@
-"""What a runner says of itself and of the runs that it holds."""
+"""What a runner reports about itself and the runs that it holds."""
 
 import attrs
 
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class ListedRunner:
-    """What the platform's list of machines says of a runner."""
+    """A runner as the platform's list of machines describes it."""
 
     upstream: str
     capacity: Resources
@@ -31,7 +31,7 @@
 
 @attrs.frozen
 class RunningTask:
-    """A run at work; ``percent`` is how much of its work is done."""
+    """A run at work; ``percent`` is its progress."""
 
     run: RunKey
     percent: int
@@ -39,7 +39,7 @@
 
 @attrs.frozen
 class EndedRun:
-    """A run that is over; ``number`` rises by one with each end at this incarnation."""
+    """A run that has ended; ``number`` counts the ends at this incarnation of the runner."""
 
     number: int
     run: RunKey
@@ -48,7 +48,7 @@
 
 @attrs.frozen
 class RunnerSnapshot:
-    """What runs at a runner and what has ended, at one reading of its steady clock."""
+    """The runs at work at a runner and its listed ends, at one reading of its steady clock."""
 
     clock_ms: int
     running: tuple[RunningTask, ...]
