--- a/src/gapdrum/core/__init__.py
+++ b/src/gapdrum/core/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on jobs, tasks and runners: no I/O, and the time is given."""
+"""The decisions on jobs, tasks and runners, without I/O; callers pass the time."""
--- a/src/gapdrum/core/endpoints.py
+++ b/src/gapdrum/core/endpoints.py
@@ -5,7 +5,7 @@
 
 @attrs.frozen
 class Endpoint:
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
@@ -19,5 +19,5 @@
     """Return the endpoint in ``host:port``; raises ValueError."""
     host, _, port = text.rpartition(":")
     if not host:
-        raise ValueError(f"not an address: {text!r}")
+        raise ValueError(f"expected host:port, got {text!r}")
     return Endpoint(host, int(port))
--- a/src/gapdrum/core/subsets.py
+++ b/src/gapdrum/core/subsets.py
@@ -1,4 +1,4 @@
-"""Which entries an agent keeps a stream to: a bounded subset, the same as long as they live."""
+"""Which entries an agent keeps a stream to: a bounded subset that is stable while they live."""
 
 import functools
 import hashlib
@@ -7,16 +7,14 @@
 
 import attrs
 
-# An agent serves so many entries that it can reach, half of them in its own zone. With five
-# agents an entry, as the large fleets have, an entry sees 20 runners: enough to find room for a
-# wide job, few enough that entries seldom race for the same room. Replays of 35 entries and 160
-# agents with a little more work than fits (two seeds): 10.2 messages a task and 2,286 of 11,554
-# orders refused, 13.8 and 3,059 if an agent serves six entries, with the same worth.
+# How many reachable entries an agent serves, half of them in its own zone. With five agents per
+# entry, as in large fleets, an entry sees 20 runners: enough to find room for a wide job, few
+# enough that entries seldom compete for the same room. Six entries per agent cost a third more
+# messages and refused orders, without a gain.
 ENTRIES_PER_AGENT = 4
-# An agent in an open zone serves so many entries of drained zones beyond its own choice: with three
-# zones they lose 11 of the 23 agents that serve them, and get as many back. While 1.2 times as much
-# comes as the open zones hold (replays of 65 agents, two seeds), the worst-served zone gets 0.95 of
-# what is owed to its callers, 0.91 without; all zones together get the same.
+# How many further entries an agent in an open zone serves that are in drained zones. With three
+# zones these entries lose 11 of the 23 agents that serve them, and get as many back; otherwise
+# their callers are served worse than others.
 EXTRA_DRAINED_ENTRIES = 1
 PERMILLE = 1_000
 HASH_BYTES = 8
@@ -26,9 +24,10 @@
 class Candidate:
     """An entry that an agent knows.
 
-    ``is_down`` tells that a stream to it could not be had for a while, ``holds_work`` that the
-    agent holds work of it. ``wanted_permille`` is the share of all agents that it asks for, and
-    ``is_drained`` tells that its zone is drained while the agent's is not.
+    ``is_near`` is set if it is in the agent's zone, ``is_down`` if no stream to it could be opened
+    for a while, ``holds_work`` if the agent holds work of it, and ``is_drained`` if its zone is
+    drained while the agent's is not. ``wanted_permille`` is the share of all agents that it
+    requests.
     """
 
     entry: str
@@ -44,15 +43,15 @@
 ) -> frozenset[str]:
     """Return the entries that an agent should have a stream to.
 
-    These are the first by rendezvous hashing, those that need it, and those that ask for a share
-    of all agents that includes it. One that is down is tried on, but another takes its place::
+    These are the first by rendezvous hashing, those whose work it holds, and those that request a
+    share of all agents that includes it. An entry that is down stays, and another one is added::
 
         choose_entries("side-1", [Candidate("edge-1", is_near=True), ...])
     """
     known = sorted(candidates, key=lambda one: _rank(agent, one.entry))
     if join_all:
         return frozenset(one.entry for one in known)
-    chosen = {one.entry for one in known if one.holds_work or _is_asked(agent, one)}
+    chosen = {one.entry for one in known if one.holds_work or _is_requested(agent, one)}
     live = 0
     for one in _by_preference(known):
         chosen.add(one.entry)
@@ -64,19 +63,19 @@
 
 
 def _by_preference(ranked: list[Candidate]) -> Iterator[Candidate]:
-    """Yield entries of the own zone and others by turns, so that a cut zone serves itself."""
+    """Yield entries of the agent's zone and others in turn, so a cut-off zone serves itself."""
     near = [one for one in ranked if one.is_near]
     far = [one for one in ranked if not one.is_near]
     for pair in zip_longest(near, far):
         yield from filter(None, pair)
 
 
-def _is_asked(agent: str, candidate: Candidate) -> bool:
+def _is_requested(agent: str, candidate: Candidate) -> bool:
     return _rank(agent, candidate.entry) * PERMILLE < candidate.wanted_permille << 8 * HASH_BYTES
 
 
 @functools.lru_cache(maxsize=4_096)
 def _rank(agent: str, entry: str) -> int:
-    """Return a number that is spread evenly over all pairs, the same in every process."""
+    """Return a number that is evenly distributed over all pairs and equal in every process."""
     digest = hashlib.blake2b(f"{agent}\n{entry}".encode(), digest_size=HASH_BYTES).digest()
     return int.from_bytes(digest, "big")
--- a/src/gapdrum/core/zone_drains.py
+++ b/src/gapdrum/core/zone_drains.py
@@ -1,4 +1,4 @@
-"""Which availability zones operators have drained: nothing more is started there."""
+"""Which availability zones operators have drained: no further task is started there."""
 
 from collections.abc import Iterable
 
@@ -9,18 +9,18 @@
 
 @attrs.define
 class ZoneDrains:
-    """The drained zones as of a version of the operators' table, which never goes back.
+    """The drained zones as of a version of the operators' table, which only increases.
 
-    An older statement, such as a stale read or a late message, is passed over. Before anything
-    is known, every zone counts as closed: a process that starts must not begin work in a zone
-    that was drained while it was away.
+    An older version, such as a stale read or a late message, is ignored. Until a version is known,
+    every zone counts as closed: a process that starts must not begin work in a zone that was
+    drained while it was down.
 
     ::
 
         drains = ZoneDrains()
-        drains.take(17, ["moka-hall"])     # True, as it is news
+        drains.take(17, ["moka-hall"])     # True: the drained zones change
         drains.is_closed("moka-hall")      # True
-        drains.take(12, [])                # False: that was before
+        drains.take(12, [])                # False: an older version
     """
 
     version: int = UNKNOWN_VERSION
@@ -28,24 +28,24 @@
 
     @property
     def known(self) -> bool:
-        """Tell whether anything is known yet."""
+        """Return whether a version of the table is known."""
         return self.version != UNKNOWN_VERSION
 
     def is_closed(self, zone: str) -> bool:
-        """Tell whether nothing may be started in a zone."""
+        """Return whether no task may be started in a zone."""
         return not self.known or zone in self.zones
 
     def take(self, version: int, zones: Iterable[str]) -> bool:
-        """Take what holds as of a version; return whether it changes what is known here."""
+        """Apply the drained zones as of a version; return whether the known ones change."""
         if version < self.version:
             return False
-        taken = frozenset(zones)
+        drained = frozenset(zones)
         if version == self.version:
-            # Two statements as of one version should agree. Where they don't, the next version
-            # settles it; until then a zone that one of them closes stays closed, and processes
-            # that hold different ones don't tell each other for ever.
-            taken |= self.zones
-        is_news = not self.known or taken != self.zones
+            # Two sources should agree on one version. If they don't, a zone that either of them
+            # drains stays closed until the next version. The union also keeps processes from
+            # sending each other their differing zones for ever.
+            drained |= self.zones
+        is_changed = not self.known or drained != self.zones
         self.version = version
-        self.zones = taken
-        return is_news
+        self.zones = drained
+        return is_changed
