--- a/features/run_bounds.feature
+++ b/features/run_bounds.feature
@@ -1,11 +1,11 @@
 Feature: a run is over before its task may be started anew
-  Each margin of docs/RUN-BOUNDS.md, computed from the constants of both sides and the settings. A
-  bound that one side derives from a figure that the other side never sees looks right on each side.
+  The margins of docs/RUN-BOUNDS.md, computed from the constants of agent, entry and settings. Guards
+  against a bound that is consistent in one process and wrong against a value of another.
 
-  Scenario Outline: what runs for a waiting caller is over before the job is submitted again
+  Scenario Outline: a waiting caller's runs end before the job is submitted again
     Given callers that submit again after <resubmit_ms> ms, and leases of at most <lease_ms> ms
     Then a waiting caller's run ends by itself at least 75 ms before that, on a runner's slow clock
-    And its stop is due while two beats may still be missed
+    And two missed heartbeats do not make its stop due
 
     Examples:
       | resubmit_ms | lease_ms |
@@ -14,17 +14,17 @@
       | 1600        | 1000     |
       | 5000        | 1000     |
 
-  Scenario: what runs for a stored job is over before its owner, or the next one, starts it anew
+  Scenario: a durable job's runs end before its owner, or the next one, starts their tasks anew
     Given callers that submit again after 1300 ms, and leases of at most 1000 ms
-    Then a stored job's run ends by itself at least 400 ms before the limit of silence
+    Then a durable job's run ends by itself at least 400 ms before the silence limit
 
-  Scenario: a stream that went silent is replaced before what runs for its entry is stopped
+  Scenario: a silent stream is replaced before the runs of its entry are stopped
     Given callers that submit again after 1300 ms, and leases of at most 1000 ms
-    Then a silent stream is cut at least 75 ms before the first stop is due
+    Then a silent stream is closed at least 75 ms before the first stop is due
 
-  Scenario: a runner that can't be reached has let all lapse before that is believed
+  Scenario: the lease of an unreachable runner has lapsed before the agent counts on it
     Given callers that submit again after 1300 ms, and leases of at most 1000 ms
-    Then its slow clock has passed the end of the lease at least 100 ms before
+    Then a runner's slow clock has passed the end of the lease at least 100 ms before
 
-  Scenario: an entry has stopped acting before others end its lease
-    Then that is at least 500 ms before
+  Scenario: an entry has stopped acting before its peers end its lease
+    Then it has stopped at least 500 ms before
--- a/features/steps/run_bounds_steps.py
+++ b/features/steps/run_bounds_steps.py
@@ -1,9 +1,9 @@
-"""Steps that compute how long before a task may start anew its last run is over."""
+"""Steps that compute by how much a task's last run ends before the task may start anew."""
 
 from behave import given, then
 
 from gapdrum.agent.entry_links import SILENT_ENTRY_MS
-from gapdrum.agent.runner_context import EXPIRY_MARGIN_MS as RUNNER_LAPSE_SLACK_MS
+from gapdrum.agent.runner_context import EXPIRY_MARGIN_MS as RUNNER_EXPIRY_MARGIN_MS
 from gapdrum.core.orders import BEAT_INTERVAL_MS
 from gapdrum.core.run_bounds import SILENCE_LIMIT_MS, RunBounds
 from gapdrum.core.runner_ledger import CLOCK_RATE_FLOOR
@@ -18,8 +18,8 @@
     context.resubmit_ms, context.lease_ms = resubmit_ms, lease_ms
 
 
-def over_ms(context, durable):
-    """Return when a run is over at the latest after its owner's last word, in real time."""
+def max_run_end_ms(context, durable):
+    """Return the greatest real time from the owner's last echo to the end of a run."""
     lease_duration_ms = context.bounds.lease_duration_ms(durable)
     lease_ms = context.bounds.lease_ms(context.lease_ms)
     return lease_duration_ms - lease_ms + lease_ms / CLOCK_RATE_FLOOR + RUNNER_STOP_MS
@@ -29,33 +29,37 @@
     "a waiting caller's run ends by itself at least {margin_ms:d} ms before that, "
     "on a runner's slow clock"
 )
-def waiting_over(context, margin_ms):
-    assert context.resubmit_ms - over_ms(context, False) >= margin_ms, over_ms(context, False)
+def waiting_run_ends(context, margin_ms):
+    assert context.resubmit_ms - max_run_end_ms(context, False) >= margin_ms, max_run_end_ms(
+        context, False
+    )
 
 
-@then("its stop is due while two beats may still be missed")
+@then("two missed heartbeats do not make its stop due")
 def grant_outlives_beats(context):
     assert context.bounds.grant_ms(False) > 3 * BEAT_INTERVAL_MS
 
 
-@then("a stored job's run ends by itself at least {margin_ms:d} ms before the limit of silence")
-def stored_over(context, margin_ms):
-    assert SILENCE_LIMIT_MS - over_ms(context, True) >= margin_ms, over_ms(context, True)
+@then("a durable job's run ends by itself at least {margin_ms:d} ms before the silence limit")
+def durable_run_ends(context, margin_ms):
+    assert SILENCE_LIMIT_MS - max_run_end_ms(context, True) >= margin_ms, max_run_end_ms(
+        context, True
+    )
 
 
-@then("a silent stream is cut at least {margin_ms:d} ms before the first stop is due")
+@then("a silent stream is closed at least {margin_ms:d} ms before the first stop is due")
 def stream_replaced(context, margin_ms):
     beats = SILENT_ENTRY_MS // BEAT_INTERVAL_MS + 1
-    cut_ms = beats * BEAT_INTERVAL_MS
-    assert context.bounds.grant_ms(False) - cut_ms >= margin_ms, cut_ms
+    close_ms = beats * BEAT_INTERVAL_MS
+    assert context.bounds.grant_ms(False) - close_ms >= margin_ms, close_ms
 
 
-@then("its slow clock has passed the end of the lease at least {margin_ms:d} ms before")
-def lapse_believed(context, margin_ms):
+@then("a runner's slow clock has passed the end of the lease at least {margin_ms:d} ms before")
+def lapse_assumed(context, margin_ms):
     late_ms = context.lease_ms / CLOCK_RATE_FLOOR - context.lease_ms
-    assert RUNNER_LAPSE_SLACK_MS - late_ms >= margin_ms, late_ms
+    assert RUNNER_EXPIRY_MARGIN_MS - late_ms >= margin_ms, late_ms
 
 
-@then("that is at least {margin_ms:d} ms before")
-def lease_over(_context, margin_ms):
+@then("it has stopped at least {margin_ms:d} ms before")
+def entry_stopped(_context, margin_ms):
     assert margin_ms <= EXPIRY_MARGIN_MS
