--- a/features/late_claims.feature
+++ b/features/late_claims.feature
@@ -1,16 +1,16 @@
-Feature: what runs for waiting callers goes on while its entry's claim is on its way
-  An entry that joins again claims what runs for its callers. Delayed links, a paused entry or many
-  runs may hold the claim up; the owner's last word still allows the runs until its grant ends.
-
-  # An agent stopped after 200 ms what ran under an entry's former name, as an entry that has begun
-  # anew claims nothing. One that has only lost its lease may need longer than that to claim: its work
-  # was lost, and done again. It names its former lives now when it joins.
-  Scenario Outline: a renamed entry's claim comes late
+Feature: runs of waiting callers continue while their entry's claim is delayed
+  An entry that rejoins an agent claims the runs of its callers. Slow links, a paused entry or many
+  runs may delay the claim; the runs continue until the grant of the owner's last echo ends.
+
+  # Guards against runs that are lost because the agent stops the runs of a former incarnation after
+  # 200 ms. A restarted entry claims nothing, but one that has only lost its lease may need longer to
+  # claim them, and names its former incarnations when it joins.
+  Scenario Outline: an entry that lost its lease claims its runs late
     Given an owner and an agent with one runner, joined by a stream
     And a job of a waiting caller that is at work there
-    When the entry loses its lease while its stream is down, and joins under another name
+    When the entry loses its lease while its stream is down, and joins as another incarnation
     And its claim takes <delay> ms
-    Then the runs go on, and have <stops>
+    Then the runs continue, and have <stops>
 
     Examples:
       | delay | stops            |
@@ -18,43 +18,43 @@
       | 150   | not been stopped |
       | 400   | not been stopped |
 
-  Scenario: a renamed entry that does not claim a run loses it before its caller may come back
+  Scenario: runs that such an entry does not claim are stopped before their caller may submit again
     Given an owner and an agent with one runner, joined by a stream
     And a job of a waiting caller that is at work there
-    When the entry loses its lease while its stream is down, and joins under another name
+    When the entry loses its lease while its stream is down, and joins as another incarnation
     And its claim takes 2000 ms
-    Then all runs were stopped 850 ms after the owner's last word at the latest
+    Then all runs were stopped 850 ms after the owner's last echo at the latest
 
-  # The end of a run was told to the entry under the name that it no longer had, and then the claim was
-  # answered with a loss: the task was done again.
-  Scenario: a run ends between the joining of its renamed entry and the claim
+  # Guards against a task that is done twice: the agent sends the end to the former incarnation, and
+  # answers the claim with a loss.
+  Scenario: a run ends after its entry has joined as another incarnation and before the claim
     Given an owner and an agent with one runner, joined by a stream
     And a job of a waiting caller that is at work there
-    When the entry loses its lease while its stream is down, and joins under another name
+    When the entry loses its lease while its stream is down, and joins as another incarnation
     And one task is done before the claim comes
     Then that task counts as done, and is not started again
 
-  # The end is kept at the agent until its owner would have given the run up.
-  Scenario Outline: an end that came while the stream was down is told though more goes wrong
+  # The agent keeps the end until its owner would have given the run up.
+  Scenario Outline: an end during a lost stream is sent despite a second failure
     Given an owner and an agent with one runner, joined by a stream
     And a job of a waiting caller that is at work there
     When its stream ends, one task is done, and <more>
     Then that task counts as done, and is not started again
 
     Examples:
-      | more                                |
-      | the entry joins under another name  |
-      | the next stream ends before it says |
+      | more                                   |
+      | the entry joins as another incarnation |
+      | the next stream ends before it is sent |
 
-  # An agent looked 600 ms after a stream had failed whether its entry was there. One whose next stream
-  # had failed just then was taken for gone, and all that ran for its callers was stopped.
-  Scenario: a stream that fails again is given its whole time to come back
+  # Guards against an agent that checks for its entry 600 ms after a stream has failed, finds that the
+  # next stream has failed just then, and stops the runs of the entry's callers.
+  Scenario: an entry whose stream fails again has the whole time to rejoin
     Given an owner and an agent with one runner, joined by a stream
     And a job of a waiting caller that is at work there
     When its stream fails, comes back after 200 ms, and fails again 300 ms later for 200 ms
-    Then the runs go on, and have not been stopped
+    Then the runs continue, and have not been stopped
 
-  Scenario: what runs for an entry that stays away is stopped
+  Scenario: the runs of an entry that does not rejoin are stopped
     Given an owner and an agent with one runner, joined by a stream
     And a job of a waiting caller that is at work there
     When its stream fails, and stays away for 650 ms
--- a/features/steps/late_claim_steps.py
+++ b/features/steps/late_claim_steps.py
@@ -1,4 +1,4 @@
-"""Steps on streams that fail, and on entries that join an agent under another name."""
+"""Steps on streams that fail, and on entries that join an agent as another incarnation."""
 
 import asyncio
 import json
@@ -15,12 +15,12 @@
 from gapdrum.core.runner_models import RunningTask
 from gapdrum.exceptions import FrameError
 
-RENAMED = "entry-1/next-life"
+NEXT_INCARNATION = "entry-1/next-life"
 STEP_MS = 50
 
 
 class PlannedTimers(ManualTimers):
-    """Calls back what was planned once its time has come."""
+    """Calls planned callbacks when they are due."""
 
     def __init__(self, time_ms):
         super().__init__()
@@ -38,7 +38,7 @@
 
 
 def pass_time(context, time_ms):
-    """Let time pass: the runs get on, and their owner echoes each beat and claims nothing yet."""
+    """Let time pass: the runs make progress, and their owner echoes heartbeats and claims none."""
     pair, timers = context.pair, context.planned
     for passed_ms in range(STEP_MS, time_ms + 1, STEP_MS):
         timers.time_ms = pair.timers.time_ms = pair.timers.time_ms + STEP_MS
@@ -51,15 +51,15 @@
         pair.poll()
 
 
-@when("the entry loses its lease while its stream is down, and joins under another name")
-def joins_renamed(context):
+@when("the entry loses its lease while its stream is down, and joins as another incarnation")
+def joins_as_next_incarnation(context):
     pair = context.pair
     context.last_echo_ms = pair.timers.now_ms()
     pair.part()
     pair.timers.time_ms += 200
     context.planned = PlannedTimers(pair.timers.time_ms)
     pair.agent.orders._timers = context.planned
-    pair.join(RENAMED, (OWNER,))
+    pair.join(NEXT_INCARNATION, (OWNER,))
     context.told = pair.drain_sent()
 
 
@@ -72,14 +72,14 @@
     pair.deliver_to_agent()
 
 
-@then("the runs go on, and have not been stopped")
-def go_on(context):
+@then("the runs continue, and have not been stopped")
+def continue_running(context):
     pass_time(context, 1_000)
     assert not context.stops, context.stops
     assert max(context.runner.renewals) > context.pair.timers.now_ms()
 
 
-@then("all runs were stopped {time_ms:d} ms after the owner's last word at the latest")
+@then("all runs were stopped {time_ms:d} ms after the owner's last echo at the latest")
 def stopped_in_time(context, time_ms):
     first_ms = min(context.stops)
     assert first_ms - context.last_echo_ms <= time_ms + STEP_MS, (
@@ -114,8 +114,8 @@
     context.runner.end(context.keys[0], RunEnd.DONE)
     pair.poll()
     pair.timers.time_ms += 200
-    if "another name" in more:
-        pair.join(RENAMED, (OWNER,))
+    if "another incarnation" in more:
+        pair.join(NEXT_INCARNATION, (OWNER,))
     else:
         pair.join()
         pair.part()
@@ -126,7 +126,7 @@
 
 
 def plan_timers(context):
-    """Let what the agent plans be called when its time comes."""
+    """Call the agent's timers when they are due."""
     context.planned = PlannedTimers(context.pair.timers.time_ms)
     context.pair.agent.links._timers = context.pair.agent.orders._timers = context.planned
 
