--- a/features/steps/subset_steps.py
+++ b/features/steps/subset_steps.py
@@ -24,7 +24,7 @@
 from gapdrum.timers import Timers
 
 HOST = "127.0.0.1"
-JUDGE_MS = 50
+ADJUST_INTERVAL_MS = 50
 
 
 # Which entries are chosen.
@@ -108,7 +108,7 @@
     context.drained = 0
 
 
-@then("each agent of an open zone serves one of its entries more, and others none")
+@then("each agent of an open zone serves one more of its entries, and other agents serve no more")
 def serves_more(context):
     for agent, chosen in subsets_of(context).items():
         more = chosen - context.before[agent]
@@ -128,13 +128,13 @@
     assert least <= min(counts) and max(counts) <= most, counts
 
 
-@when("an entry asks for {permille:d} thousandths of the agents")
-def asks(context, permille):
+@when("an entry requests {permille:d} thousandths of the agents")
+def requests_agents(context, permille):
     context.wanted = {"edge-1": permille}
 
 
-@when("each entry judges its reach for {seconds:d} s by what the others see")
-def judge_all(context, seconds):
+@when("each entry adjusts its requested share for {seconds:d} s by what the others see")
+def adjust_all(context, seconds):
     reaches = {entry: Reach() for entry in context.entry_zones}
     for step in range(seconds * 2):
         served = Counter(entry for chosen in subsets_of(context).values() for entry in chosen)
@@ -145,10 +145,10 @@
         context.wanted = {entry: reach.wanted_permille for entry, reach in reaches.items()}
 
 
-@then("at most {most:d} entries ask for more")
-def few_ask(context, most):
-    asking = [entry for entry, permille in context.wanted.items() if permille]
-    assert len(asking) <= most, len(asking)
+@then("at most {most:d} entries request more")
+def few_request(context, most):
+    requesting = [entry for entry, permille in context.wanted.items() if permille]
+    assert len(requesting) <= most, len(requesting)
 
 
 @then("an agent serves {most:d} entries on average at most")
@@ -158,7 +158,7 @@
 
 
 @then("{least:d} to {most:d} agents serve it")
-def asked(context, least, most):
+def served_by(context, least, most):
     found = sum("edge-1" in chosen for chosen in subsets_of(context).values())
     assert least <= found <= most, found
 
@@ -167,7 +167,7 @@
 
 
 class ListeningEntry:
-    """The parts of an entry that take streams, and the address that they are at."""
+    """The parts of an entry that accept streams, and their address."""
 
     def __init__(self, name, timers):
         self.name = name
@@ -175,8 +175,8 @@
         counts = Counter()
         self.links = AgentLinks(timers, EventLog(name, timers), counts, counts)
         self.links.owner = lambda: self.owner
-        self.outside = Effects(self.links)
-        self.links.dispatch = self.dispatch = build_dispatch("z", self.outside, lambda: True, 0)
+        self.effects = Effects(self.links)
+        self.links.dispatch = self.dispatch = build_dispatch("z", self.effects, lambda: True, 0)
         self.writers = []
 
     async def listen(self):
@@ -194,7 +194,7 @@
 
 
 class Effects(QuietOutside):
-    """Sends to agents, and notes what was sent."""
+    """Sends messages to agents, and records them."""
 
     def __init__(self, links):
         self.links = links
@@ -206,7 +206,7 @@
 
 
 class OpenStreams:
-    """Takes whatever is sent to agents."""
+    """Accepts every message to agents."""
 
     @staticmethod
     def send(_agent, _message):
@@ -222,7 +222,7 @@
         if is_true():
             return
         await asyncio.sleep(0.01)
-    raise AssertionError("waited in vain")
+    raise AssertionError("condition not met in time")
 
 
 @given("an agent and {count:d} entries")
@@ -231,9 +231,9 @@
     context.add_cleanup(context.runner.close)
     context.held = set()
     context.taken = []
-    kept_ms = entry_links.UNNEEDED_KEPT_MS
+    unneeded_ms = entry_links.UNNEEDED_KEPT_MS
     entry_links.UNNEEDED_KEPT_MS = 300
-    context.add_cleanup(setattr, entry_links, "UNNEEDED_KEPT_MS", kept_ms)
+    context.add_cleanup(setattr, entry_links, "UNNEEDED_KEPT_MS", unneeded_ms)
     run(context, start_all(context, count))
 
 
@@ -278,21 +278,21 @@
             context.links.update_links()
             await asyncio.sleep(0.05)
 
-    arranging = asyncio.create_task(update_links())
+    updating = asyncio.create_task(update_links())
     try:
         await wait_until(is_true, within_s)
     finally:
-        arranging.cancel()
+        updating.cancel()
 
 
 @when("it holds work of an entry that it would not serve")
-def holds_outside(context):
-    context.outside = next(iter(set(context.entries) - joined(context)))
-    context.held = {HeldOwner(f"{context.outside}/life", False)}
+def holds_unserved(context):
+    context.unserved = next(iter(set(context.entries) - joined(context)))
+    context.held = {HeldOwner(f"{context.unserved}/life", False)}
 
 
 @when("it holds work of an unknown owner")
-def holds_stray(context):
+def holds_unknown_owner(context):
     context.held = {HeldOwner(UNKNOWN_OWNER, True)}
     run(context, arrange_until(context, lambda: len(joined(context)) == len(context.entries)))
 
@@ -305,7 +305,7 @@
 @then("it serves {count:d} entries, that one among them")
 def serves_needed(context, count):
     run(context, arrange_until(context, lambda: len(joined(context)) == count))
-    assert context.outside in joined(context)
+    assert context.unserved in joined(context)
 
 
 @then("it serves {count:d} entries")
@@ -336,17 +336,17 @@
     left = next(link.entry for link in context.links if link.leaving)
     assert left in served
     entry = context.entry = context.entries[left]
-    # The agent's word has not been read here yet.
+    # The entry has not read the agent's leaving message yet.
     assert entry.dispatch.fleet.runners
     context.dispatch = entry.dispatch
     context.now_ms = Timers.now_ms()
     new_job(context, 1)
-    assert any(isinstance(one, orders.StartOrder) for one in entry.outside.sent)
+    assert any(isinstance(one, orders.StartOrder) for one in entry.effects.sent)
     assert context.job.tasks[0].phase is TaskPhase.ORDERED
     await asyncio.sleep(0.2)
 
 
-@then("the order is not carried out")
+@then("the order is not executed")
 def not_begun(context):
     assert not any(isinstance(one, orders.StartOrder) for one in context.taken), context.taken
 
@@ -389,13 +389,13 @@
     own = context.own
     if waits == "does not wait" and own.agents == context.others[0].agents:
         own = attrs.evolve(own, free_permille=context.others[0].free_permille)
-    for _ in range(time_ms // JUDGE_MS):
+    for _ in range(time_ms // ADJUST_INTERVAL_MS):
         context.reach.adjust(own, context.others, waits == "waits", context.now_ms)
-        context.now_ms += JUDGE_MS
+        context.now_ms += ADJUST_INTERVAL_MS
 
 
-@then("it asks for {wanted:d} thousandths of all agents")
-def asks_for(context, wanted):
+@then("it requests {wanted:d} thousandths of all agents")
+def requests_share(context, wanted):
     assert context.reach.wanted_permille == wanted, context.reach
 
 
@@ -416,8 +416,8 @@
     asyncio.run(context.lease.register())
 
 
-@when("it asks for {wanted:d} thousandths while the store answers nothing")
-def asks_in_vain(context, wanted):
+@when("it requests {wanted:d} thousandths while the store answers nothing")
+def requests_without_answer(context, wanted):
     context.store.away = True
     context.lease.request_agents(wanted)
     asyncio.run(context.lease.keep())
@@ -429,8 +429,8 @@
     asyncio.run(context.lease.keep())
 
 
-@then("its address asks for {wanted:d} thousandths")
-def address_asks(context, wanted):
+@then("its address requests {wanted:d} thousandths")
+def address_requests(context, wanted):
     record = load_record(context.store.row(address_row("entry-1")).value, EntryAddress)
     assert record.wanted_permille == wanted, record
 
@@ -448,7 +448,7 @@
 async def start_owner(context):
     context.entry = entry = ListeningEntry("edge-1", Timers())
     await entry.listen()
-    entry.outside.links = OpenStreams
+    entry.effects.links = OpenStreams
     context.dispatch = entry.dispatch
     fleet = entry.dispatch.fleet
     view = fleet.agent_joined(orders.AgentGreeting("side-1", "life", "z", 1), 1_000)
@@ -480,7 +480,7 @@
 
 @then("it stops the run and drops the job")
 def stopped_and_dropped(context):
-    kinds = [type(one) for one in context.entry.outside.sent]
+    kinds = [type(one) for one in context.entry.effects.sent]
     assert orders.StopOrder in kinds, kinds
     assert context.job.job_id not in context.dispatch.jobs
 
--- a/features/subsets.feature
+++ b/features/subsets.feature
@@ -1,5 +1,6 @@
 Feature: Each agent serves a bounded subset of the entries
-  Streams, beats and reports of room grow with entries times agents if all serve all.
+  If all agents served all entries, streams, heartbeats and room reports would grow with the product
+  of their numbers.
 
   Scenario: subsets are bounded, even and the same in every process
     Given 35 entries and 160 agents in 5 zones
@@ -7,33 +8,33 @@
     And each entry is served by 6 to 36 agents
     And a lost entry changes only the subsets that it was in
 
-  Scenario: a small fleet has all streams
+  Scenario: in a small fleet each agent serves every entry
     Given 4 entries and 11 agents in 2 zones
     Then each agent serves 4 entries, at least 2 of them in its own zone
 
-  Scenario: entries that are down are replaced by others, and tried on
+  Scenario: entries that are down are replaced by others, and still tried
     Given 35 entries and 160 agents in 5 zones
     When the entries of a zone are down
     Then each agent serves 4 entries that are not down
     And each agent still tries those that it would serve
 
-  Scenario: entries of a drained zone are served by more agents of the others
+  Scenario: entries of a drained zone are served by more agents of open zones
     Given 11 entries and 66 agents in 3 zones
     When a zone is drained
-    Then each agent of an open zone serves one of its entries more, and others none
+    Then each agent of an open zone serves one more of its entries, and other agents serve no more
     And its entries are served by 18 to 30 agents of open zones
 
-  Scenario: an entry is served by the share of all agents that it asks for
+  Scenario: an entry is served by the share of all agents that it requests
     Given 35 entries and 160 agents in 5 zones
-    When an entry asks for 700 thousandths of the agents
+    When an entry requests 700 thousandths of the agents
     Then 96 to 128 agents serve it
-    When an entry asks for 1000 thousandths of the agents
+    When an entry requests 1000 thousandths of the agents
     Then 160 to 160 agents serve it
 
-  Scenario: a few entries that few agents chose do not make all entries ask for more
+  Scenario: a few entries with few agents do not make all entries request more
     Given 80 entries and 220 agents in 4 zones
-    When each entry judges its reach for 10 s by what the others see
-    Then at most 8 entries ask for more
+    When each entry adjusts its requested share for 10 s by what the others see
+    Then at most 8 entries request more
     And an agent serves 10 entries on average at most
 
   Scenario: an agent holds work of an entry outside its subset
@@ -49,11 +50,11 @@
     Then it serves 4 entries
     And the entries that it left have dropped its runners at once
 
-  Scenario: an order that crosses the agent's word that it leaves is not begun
+  Scenario: an order that crosses the agent's leaving message is not started
     Given an agent and 7 entries
     When it holds work of an unknown owner
     And it holds nothing any more, and an entry that it leaves sends an order
-    Then the order is not carried out
+    Then the order is not executed
     And the entry takes the task back at once
 
   Scenario: an entry that dies is replaced within two seconds
@@ -61,11 +62,11 @@
     When an entry that it serves dies
     Then it serves 4 other entries within 2 s
 
-  Scenario Outline: an entry asks for more agents if others have what it lacks
+  Scenario Outline: an entry requests more agents if others have what it lacks
     Given an entry that sees <agents> agents and <free> thousandths of room free
     And others that see 30 agents and <spare> thousandths of room free
     When work <waits> for 1200 ms
-    Then it asks for <wanted> thousandths of all agents
+    Then it requests <wanted> thousandths of all agents
 
     Examples:
       | agents | free | spare | waits          | wanted |
@@ -75,23 +76,23 @@
       | 30     | 200  | 300   | waits          | 0      |
       | 10     | 200  | 200   | does not wait  | 700    |
 
-  Scenario: a short want raises nothing, and what was raised is lowered slowly
+  Scenario: a short lack of room raises no share, and a raised share is lowered slowly
     Given an entry that sees 30 agents and 0 thousandths of room free
     And others that see 30 agents and 300 thousandths of room free
     When work waits for 300 ms
-    Then it asks for 0 thousandths of all agents
+    Then it requests 0 thousandths of all agents
     When work waits for 1200 ms
-    Then it asks for 700 thousandths of all agents
+    Then it requests 700 thousandths of all agents
     When work does not wait for 4000 ms
-    Then it asks for 700 thousandths of all agents
+    Then it requests 700 thousandths of all agents
     When work does not wait for 16000 ms
-    Then it asks for 0 thousandths of all agents
+    Then it requests 0 thousandths of all agents
 
-  Scenario: a wider share is told with the next renewal, until it is written
+  Scenario: a requested share is written with the next lease renewal that the store answers
     Given an entry whose lease is held
-    When it asks for 400 thousandths while the store answers nothing
+    When it requests 400 thousandths while the store answers nothing
     And the store answers again
-    Then its address asks for 400 thousandths
+    Then its address requests 400 thousandths
 
   Scenario: a job that is cancelled at another entry is stopped by its owner
     Given an entry that owns a job whose task runs
