--- a/features/steps/zone_drain_steps.py
+++ b/features/steps/zone_drain_steps.py
@@ -34,7 +34,7 @@
 from gapdrum.transport.http_client import NoReplyError
 from gapdrum.zone_watch import ZoneWatch
 
-RESEND_S = 0.05
+RETRY_DELAY_S = 0.05
 QUEUE = Queue("flags", "h", "/flags/", "inspect-desk", 0, 3, 1.6, 60, 1_500)
 
 
@@ -46,28 +46,28 @@
     return operator_row(ZONE_DRAIN_PREFIX + zone, version, value)
 
 
-# What is known.
+# The known version of the table.
 
 
 @given("a process that knows no drained zones")
 def nothing_known(context):
     context.watch = ZoneWatch(new_log(ManualTimers()))
-    context.told_times = 0
+    context.notified_times = 0
 
     def tell():
-        context.told_times += 1
+        context.notified_times += 1
 
     context.watch.on_change = tell
 
 
-@then("it has told others {count:d} time")
-@then("it has told others {count:d} times")
-def told_times(context, count):
-    assert context.told_times == count, context.told_times
+@then("it has notified others {count:d} time")
+@then("it has notified others {count:d} times")
+def notified_times(context, count):
+    assert context.notified_times == count, context.notified_times
 
 
 class CountedFeed:
-    """A feed that only counts how often it was begun, and ended."""
+    """A feed that counts how often it was started and ended."""
 
     def __init__(self):
         self.begun = 0
@@ -92,7 +92,7 @@
     context.standby = TableStandby(context.feed, [context.link], context.timers, log)
 
 
-@when("it beats on for {duration:d} ms")
+@when("it sends heartbeats for {duration:d} ms")
 def beats_pass(context, duration):
     async def beat():
         for _ in range(duration // 50):
@@ -136,7 +136,7 @@
     context.watch.apply_table(TableNews((drain_row(zone, version),), version, is_whole=True))
 
 
-@when("another process tells version {version:d} without drained zones")
+@when("another process sends version {version:d} without drained zones")
 def told(context, version):
     context.watch.take_told(orders.ZoneDrainsTold(version, ()), "entry-2")
 
@@ -178,7 +178,7 @@
 
 
 class CountingCalls:
-    """Takes starts, or leaves them unanswered; counts them."""
+    """Counts start calls, and answers them or not."""
 
     def __init__(self, answers):
         self.answers = answers
@@ -205,18 +205,18 @@
     context.link = link
     context.watch = ZoneWatch(log)
     controllers = {}
-    reports = EntryNotifier(context.links, controllers, context.timers)
+    notifier = EntryNotifier(context.links, controllers, context.timers)
     boot = SimpleNamespace(run_lease_ms=1_000, runner=None, machine_list=None, zone=zone)
     registry = RunnerRegistry(
-        boot, controllers, context.grants, reports, context.timers, log, context.watch
+        boot, controllers, context.grants, notifier, context.timers, log, context.watch
     )
     registry._background = SimpleNamespace(keep=lambda _work: None)
     context.watch.on_change = registry.take_zones
     context.orders = EntryOrders(
-        context.links, controllers, context.grants, reports, context.timers, log
+        context.links, controllers, context.grants, notifier, context.timers, log
     )
     context.orders.zones = context.watch
-    context.reports = reports
+    context.notifier = notifier
     controller = registry._ensure_controller("i-1", Endpoint("127.0.0.1", 1))
     controller.ledger.capacity = Resources(4_000, 100, 0)
     controller.ledger.apply_snapshot(RunnerSnapshot(10, (), ()), context.timers.now_ms())
@@ -248,14 +248,14 @@
     context.watch.apply_table(TableNews((drain_row(zone, version),), version, is_whole=True))
 
 
-@when("it learns that nothing is drained")
+@when("it learns that no zone is drained")
 def agent_learns_restored(context):
     context.link.sent.clear()
     version = context.watch.drains.version + 1
     context.watch.apply_table(TableNews((), version, is_whole=True))
 
 
-@when("an entry tells that nothing is drained")
+@when("an entry sends that no zone is drained")
 def entry_tells(context):
     context.orders.take(context.link, orders.ZoneDrainsTold(3, ()))
 
@@ -272,7 +272,7 @@
         context.orders.take(context.link, order)
         await asyncio.sleep(0)
         if not context.calls.answers:
-            # The zone is drained while the first call is still without an answer.
+            # The zone is drained while the first call is unanswered.
             agent_learns(context, "moka-hall")
         for _ in range(5):
             await asyncio.sleep(0.02)
@@ -292,10 +292,10 @@
     assert context.calls.starts == 1, context.calls.starts
 
 
-@then('entries hear that its runner is "{state}" and has {room} room')
-@then('entries hear that its runner is "{state}" and has room')
+@then('entries are told that its runner is "{state}" and has {room} room')
+@then('entries are told that its runner is "{state}" and has room')
 def told_state(context, state, room=""):
-    context.reports.send_room()
+    context.notifier.send_room()
     reports = [one for one in context.link.sent if isinstance(one, orders.RunnerReport)]
     rooms = [one for one in context.link.sent if isinstance(one, orders.RoomReport)]
     assert reports[-1].state == state, reports
@@ -369,38 +369,38 @@
     assert {context.zones[place.runner_id] for place in places} == {zone}, places
 
 
-@then("none of its tasks goes anywhere")
-def go_nowhere(context):
+@then("none of its tasks is placed")
+def not_placed(context):
     assert all(task.phase is TaskPhase.WAITING for task in context.job.tasks)
 
 
-@then("the room that others are told is {permille:d} thousandths, at {agents:d} agents")
+@then("the room that peers are told is {permille:d} thousandths, at {agents:d} agents")
 def room_told(context, permille, agents):
     fleet = context.dispatch.fleet
     assert (fleet.free_permille(), fleet.count_open_agents()) == (permille, agents)
 
 
-def shut_out(context, label="", elsewhere=()):
+def unschedulable(context, label="", elsewhere=()):
     admission = Admission(context.dispatch.placer, ManualTimers(), lambda: elsewhere)
     step = Step(1, Resources(500, 10, 0), 100, required_label=label)
     return admission.is_unschedulable(QUEUE, (step,))
 
 
-@then("a job that comes is shut out, unless other entries see agents in open zones")
+@then("a submitted job is unschedulable, unless other entries see agents in open zones")
 def is_unschedulable(context):
-    assert shut_out(context)
-    assert shut_out(context, elsewhere=[VisibleCapacity(0, 0)])
-    assert not shut_out(context, elsewhere=[VisibleCapacity(0, 0), VisibleCapacity(3, 0)])
+    assert unschedulable(context)
+    assert unschedulable(context, elsewhere=[VisibleCapacity(0, 0)])
+    assert not unschedulable(context, elsewhere=[VisibleCapacity(0, 0), VisibleCapacity(3, 0)])
 
 
-@then("a job that comes is not shut out")
-def not_shut_out(context):
-    assert not shut_out(context)
+@then("a submitted job is schedulable")
+def is_schedulable(context):
+    assert not unschedulable(context)
 
 
-@then('a job that needs a label of "{zone}" is shut out')
-def label_shut_out(context, zone):
-    assert shut_out(context, label=f"in-{zone}")
+@then('a job that needs a label of "{zone}" is unschedulable')
+def label_is_unschedulable(context, zone):
+    assert unschedulable(context, label=f"in-{zone}")
 
 
 # Real processes.
@@ -454,7 +454,7 @@
         try:
             context.system.submit(job, steps_of(3), entry=entry, run_ms=40, waits=kind == "waiting")
         except urllib3.exceptions.HTTPError:
-            time.sleep(RESEND_S)  # the entry is being started again
+            time.sleep(RETRY_DELAY_S)  # the entry is being started again
 
 
 def starts_since(context, zone):
@@ -501,7 +501,7 @@
         return proxies[-1].port
 
     start_platform(context, entries, agents, store_ports=add_proxy)
-    # Proxies are made in the order of entries and then agents.
+    # The proxies are created for the entries first, then for the agents.
     cut = proxies[number if kind == "entry" else entries + number]
     cut.mode = SILENT
     context.add_cleanup(setattr, cut, "mode", PASS)
