--- a/features/steps/urgent_work_steps.py
+++ b/features/steps/urgent_work_steps.py
@@ -1,4 +1,4 @@
-"""Steps on room that is kept for urgent work, and on queues' shares of it."""
+"""Steps on room that is reserved for urgent work, and on the queues' shares of it."""
 
 import json
 from types import SimpleNamespace
@@ -38,8 +38,8 @@
     return orders.QueueDemand(UPSTREAM, queue, **{**fields, **values})
 
 
-@given("an agent that hears what queues ask for")
-def hear_demand(context):
+@given("an agent that receives the demand of queues")
+def receive_demand(context):
     context.now_ms = 1_000
     context.shares = RoomShares()
     context.rows = {}
@@ -60,20 +60,20 @@
     context.shares = RoomShares()
 
 
-@when('the entry tells of the queue "{queue}" only')
-def send_runner(context, queue):
+@when('the entry sends the queue "{queue}" only')
+def send_one_queue(context, queue):
     rows = tuple(row for row in context.rows["entry-1"] if row.queue == queue)
     context.shares.take("entry-1", rows, context.now_ms)
 
 
-@then("of a runner of {capacity:d} with these uses, so much is kept")
+@then("of a runner of {capacity:d} with these uses, this much is reserved")
 def check_kept(context, capacity):
     for row in context.table:
         used = {name: int(row[name]) for name in context.table.headings[:-2]}
         kept = context.shares.kept_from(UPSTREAM, row["from"], capacity, used, context.now_ms)
         assert kept == int(row["kept"]), (dict(row.items()), kept)
-        told = context.shares.kept(UPSTREAM, capacity, used, context.now_ms)
-        assert told.get(row["from"], 0) == kept, told
+        by_queue = context.shares.kept(UPSTREAM, capacity, used, context.now_ms)
+        assert by_queue.get(row["from"], 0) == kept, by_queue
 
 
 def new_queue(name, **values):
@@ -119,7 +119,7 @@
 
 
 class Grants:
-    """Lets everything run for a while."""
+    """Grants that allow every run for a fixed time."""
 
     def until_ms(self, _owner, _kept):
         return 10_000
@@ -127,7 +127,7 @@
     lease_deadline_ms = until_ms
 
 
-@given('a runner of {capacity:d} that is asked for previews, and runs of "{queue}" on {room:d}')
+@given('a runner of {capacity:d} with demand for previews, and runs of "{queue}" on {room:d}')
 def busy_runner(context, capacity, queue, room):
     now_ms = 1_000
     timers = SimpleNamespace(now_ms=lambda: now_ms, awake_ms=lambda: now_ms)
@@ -157,8 +157,8 @@
     )
 
 
-@then('it is refused as "{reason}"')
-def refused_as(context, reason):
+@then('it is rejected as "{reason}"')
+def rejected_as(context, reason):
     assert context.reason == reason, context.reason
 
 
@@ -167,7 +167,7 @@
     assert context.reason is None, context.reason
 
 
-@given('a view of a runner with {free:d} free, of which {kept:d} are kept from "{queue}"')
+@given('a view of a runner with {free:d} free, of which {kept:d} are reserved from "{queue}"')
 def view_runner(context, free, kept, queue):
     context.view = RunnerView(None, None, 0)
     rows = (orders.KeptRoom(queue, kept),)
@@ -181,14 +181,14 @@
 
 
 class Lines(list):
-    """Takes log lines."""
+    """Records log lines."""
 
     def write(self, event, **fields):
         self.append((event, fields))
 
 
 def configure(context, shares):
-    """Put the next configuration in force."""
+    """Apply the next configuration."""
     context.version = getattr(context, "version", 0) + 1
     routes = [
         {"name": name, "host": "h", "prefix": f"/{name}/", "service": UPSTREAM, **values}
@@ -252,20 +252,20 @@
     assert context.watch.current.queue_named(other).ceiling_permille == its
 
 
-@given('room of a runner is kept from "{queue}" a hundred times in 2 s')
-def keep_often(context, queue):
+@given('room of a runner is reserved from "{queue}" a hundred times in 2 s')
+def reserve_often(context, queue):
     context.lines = Lines()
-    context.notes = ReservationLog(context.lines)
+    context.reservation_log = ReservationLog(context.lines)
     ledger = RunnerLedger("i-1", UPSTREAM)
     for count in range(100):
         context.now_ms = 20 * count
-        context.notes.note(ledger, (orders.KeptRoom(queue, 500),), context.now_ms)
-        context.notes.log_releases(context.now_ms)
+        context.reservation_log.note(ledger, (orders.KeptRoom(queue, 500),), context.now_ms)
+        context.reservation_log.log_releases(context.now_ms)
 
 
 @when("{passed_ms:d} ms pass without it")
 def pass_without(context, passed_ms):
-    context.notes.log_releases(context.now_ms + passed_ms)
+    context.reservation_log.log_releases(context.now_ms + passed_ms)
 
 
 @then('one line "{event}" is written')
