--- a/features/late_claims.feature
+++ b/features/late_claims.feature
@@ -18,7 +18,7 @@
       | 150   | not been stopped |
       | 400   | not been stopped |
 
-  Scenario: runs that such an entry does not claim are stopped before their caller may submit again
+  Scenario: runs that an entry does not claim are stopped before their caller may submit again
     Given an owner and an agent with one runner, joined by a stream
     And a job of a waiting caller that is at work there
     When the entry loses its lease while its stream is down, and joins as another incarnation
@@ -35,7 +35,7 @@
     Then that task counts as done, and is not started again
 
   # The agent keeps the end until its owner would have given the run up.
-  Scenario Outline: an end during a lost stream is sent despite a second failure
+  Scenario Outline: an end while the stream is down is sent despite a second failure
     Given an owner and an agent with one runner, joined by a stream
     And a job of a waiting caller that is at work there
     When its stream ends, one task is done, and <more>
--- a/features/run_bounds.feature
+++ b/features/run_bounds.feature
@@ -22,7 +22,7 @@
     Given callers that submit again after 1300 ms, and leases of at most 1000 ms
     Then a silent stream is closed at least 75 ms before the first stop is due
 
-  Scenario: the lease of an unreachable runner has lapsed before the agent counts on it
+  Scenario: the lease of an unreachable runner has lapsed before the agent gives its runs up
     Given callers that submit again after 1300 ms, and leases of at most 1000 ms
     Then a runner's slow clock has passed the end of the lease at least 100 ms before
 
--- a/features/steps/subset_steps.py
+++ b/features/steps/subset_steps.py
@@ -400,7 +400,7 @@
 
 
 class Clock:
-    """A clock that stands still."""
+    """A clock with a fixed time."""
 
     @staticmethod
     def now_ms():
@@ -485,6 +485,6 @@
     assert context.job.job_id not in context.dispatch.jobs
 
 
-@then("the other entry hears that it was read")
+@then("the other entry learns that its message was read")
 def heard_read(context):
     assert context.read == "ended", context.read
--- a/features/subsets.feature
+++ b/features/subsets.feature
@@ -98,4 +98,4 @@
     Given an entry that owns a job whose task runs
     When another entry tells it that the job was cancelled under a higher epoch
     Then it stops the run and drops the job
-    And the other entry hears that it was read
+    And the other entry learns that its message was read
