--- a/features/steps/caller_deadline_steps.py
+++ b/features/steps/caller_deadline_steps.py
@@ -100,7 +100,7 @@
 )
 def submit_in_background(context, job, tasks, run_ms, limit):
     document = waiting_body(tasks, run_ms)
-    context.on_its_way = context.threads.submit(submit, context, job, document, limit)
+    context.in_flight_call = context.threads.submit(submit, context, job, document, limit)
 
 
 @then("{count:d} tasks are at work")
@@ -110,7 +110,7 @@
 
 @then("the waiting caller is told that nothing is known")
 def told_nothing(context):
-    status, document = context.on_its_way.result()
+    status, document = context.in_flight_call.result()
     assert (status, document["code"]) == (504, "unsettled"), (status, document)
 
 
--- a/features/steps/core_model.py
+++ b/features/steps/core_model.py
@@ -50,11 +50,11 @@
     def now_ms(self):
         return self.time_ms
 
-    def awake_ms(self):
+    def monotonic_ms(self):
         return self.time_ms - self.suspended_ms
 
     def suspend(self, time_ms):
-        """Advance time as in a suspension of the host, which ``awake_ms`` does not count."""
+        """Advance time as in a suspension of the host, which ``monotonic_ms`` does not count."""
         self.time_ms += time_ms
         self.suspended_ms += time_ms
 
--- a/features/steps/explaining_steps.py
+++ b/features/steps/explaining_steps.py
@@ -15,8 +15,8 @@
 
 from gapdrum import event_log
 from gapdrum.event_log import MAX_LINES_PER_S, MAX_WAITING_LINES, EventLog
-from gapdrum.losses import sum_up_losses
-from gapdrum.measures import Measures
+from gapdrum.losses import summarize_losses
+from gapdrum.process_metrics import ProcessMetrics
 from gapdrum.timelines import read_lines
 from gapdrum.timers import Timers
 
@@ -184,7 +184,7 @@
 
 @then('"gapdrum logs losses" tells of these jobs')
 def losses_told(context):
-    found = {loss.reason: loss.jobs for loss in sum_up_losses(read_lines([context.log_file]))}
+    found = {loss.reason: loss.jobs for loss in summarize_losses(read_lines([context.log_file]))}
     expected = {row["reason"]: int(row["jobs"]) for row in context.table}
     assert found == expected, found
     told = run_losses(context)
@@ -214,7 +214,7 @@
 
 @given('a process that has sent {sent:d} "{sent_kind}" and received {received:d} "{kind}"')
 def counted_messages(context, sent, sent_kind, received, kind):
-    context.measures = Measures()
+    context.measures = ProcessMetrics()
     context.measures.messages = {
         "sent": Counter({sent_kind: sent}),
         "received": Counter({kind: received}),
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -34,7 +34,7 @@
     context.threads = ThreadPoolExecutor(8)
     context.add_cleanup(context.threads.shutdown, wait=False)
     arguments = ("POST", "/v1/jobs", document, entry)
-    context.on_its_way = context.threads.submit(context.system.request, *arguments)
+    context.in_flight_call = context.threads.submit(context.system.request, *arguments)
 
 
 def wait_started(context, count):
@@ -216,7 +216,7 @@
 
 @then("the call on its way is answered as {outcome:w}")
 def check_on_its_way(context, outcome):
-    context.status, context.document = context.on_its_way.result(CALL_TIMEOUT_S)
+    context.status, context.document = context.in_flight_call.result(CALL_TIMEOUT_S)
     check_outcome(context, outcome)
 
 
--- a/features/steps/lost_answer_steps.py
+++ b/features/steps/lost_answer_steps.py
@@ -46,7 +46,7 @@
     def now_ms(self):
         return round(self.selector.time_s * 1_000)
 
-    awake_ms = wall_ms = now_ms
+    monotonic_ms = wall_ms = now_ms
 
     def call_after(self, delay_ms, callback):
         return self.call_later(max(0, delay_ms) / 1_000, callback)
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -71,7 +71,7 @@
 )
 def submit_in_background(context, job, tasks, run_ms, entry):
     context.submitted = job
-    context.on_its_way = context.threads.submit(
+    context.in_flight_call = context.threads.submit(
         context.system.submit, job, steps_of(tasks), entry=entry, run_ms=run_ms, waits=True
     )
 
@@ -368,7 +368,7 @@
 
 @then('the waiting caller is told "{state}"')
 def waiting_caller_told(context, state):
-    assert context.on_its_way.result() == (200, {"state": state})
+    assert context.in_flight_call.result() == (200, {"state": state})
 
 
 @then('the job "{job}" becomes "{state}" at entry {entry:d}')
--- a/features/steps/policy_steps.py
+++ b/features/steps/policy_steps.py
@@ -39,7 +39,7 @@
 def learned_run_times(run_ms, kind=""):
     run_times = RunTimes()
     for _ in range(200):
-        run_times.of(UPSTREAM, kind).add(run_ms)
+        run_times.for_kind(UPSTREAM, kind).add(run_ms)
     return run_times
 
 
@@ -141,7 +141,7 @@
     context.quotas = []
     for own, peer in ((one, other), (other, one)):
         settings = SettingsHolder()
-        settings.offer(SettingsTree(1, {"": {"team_running_limit_tasks": limit}}))
+        settings.apply_if_newer(SettingsTree(1, {"": {"team_running_limit_tasks": limit}}))
         quotas = Quotas(settings)
         quotas.record_demand("t", own)
         quotas.update_peer_demands([{"t": peer}])
@@ -199,7 +199,7 @@
 def make_inputs(context, slots, queued, run_ms):
     views = [make_view(slots=slots)]
     settings = SettingsHolder()
-    run_time = learned_run_times(run_ms).of(UPSTREAM, "")
+    run_time = learned_run_times(run_ms).for_kind(UPSTREAM, "")
     context.inputs = AdmissionInputs(
         views, views, queued, run_time, settings.root, Quotas(settings), False
     )
--- a/features/steps/refusal_steps.py
+++ b/features/steps/refusal_steps.py
@@ -29,8 +29,8 @@
 from gapdrum.entry.waiting_callers import WaitingCallers
 from gapdrum.event_log import EventLog
 from gapdrum.exceptions import StoreRejectedError, StreamClosedError
-from gapdrum.losses import sum_up_losses
-from gapdrum.operator_feed import TableNews
+from gapdrum.losses import summarize_losses
+from gapdrum.operator_feed import TableUpdate
 from gapdrum.platform.operator_table import CONFIGURATION_ROW
 from gapdrum.timelines import LogLine
 from gapdrum.transport import http_server
@@ -121,7 +121,7 @@
 
 
 def take_row(context, value):
-    news = TableNews((Row(CONFIGURATION_ROW, value, 1),), 1, is_whole=True)
+    news = TableUpdate((Row(CONFIGURATION_ROW, value, 1),), 1, is_snapshot=True)
     context.configuration.apply_table(news)
 
 
@@ -505,7 +505,7 @@
 
 @then('the losses are {count:d} of "{first}", and 1 of "{second}"')
 def losses_are(context, count, first, second):
-    losses = {loss.reason: loss for loss in sum_up_losses(context.lines)}
+    losses = {loss.reason: loss for loss in summarize_losses(context.lines)}
     assert {reason: loss.jobs for reason, loss in losses.items()} == {first: count, second: 1}
     assert losses[first].zones == {"moka-hall": count} and losses[first].seconds == {2: count}
 
--- a/features/steps/resubmission_steps.py
+++ b/features/steps/resubmission_steps.py
@@ -327,7 +327,7 @@
 
 @when("agent and runner are suspended for {time_ms:d} ms, and then the owner claims the run")
 def both_suspended(context, time_ms):
-    context.runner.read_clock = context.timers.awake_ms
+    context.runner.read_clock = context.timers.monotonic_ms
     context.timers.suspend(time_ms)
     replace_stream(context)
     echo(context)
@@ -336,7 +336,7 @@
 
 @then("that poll has renewed the lease by at most {time_ms:d} ms on the runner's clock")
 def renewed_by_at_most(context, time_ms):
-    assert 0 < context.runner.renewals[-1] - context.timers.awake_ms() <= time_ms
+    assert 0 < context.runner.renewals[-1] - context.timers.monotonic_ms() <= time_ms
 
 
 @given("an entry that holds its lease")
@@ -363,4 +363,4 @@
         patch("time.clock_gettime_ns", {time.CLOCK_BOOTTIME: 7_000_000_000}.get),
         patch("time.monotonic_ns", lambda: 5_000_000_000),
     ):
-        assert (Timers.now_ms(), Timers.awake_ms()) == (7_000, 5_000)
+        assert (Timers.now_ms(), Timers.monotonic_ms()) == (7_000, 5_000)
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -2,7 +2,7 @@
 
 from behave import given, then, when
 from soak import Soak
-from soak_callers import Submitted
+from soak_callers import SubmittedJob
 from soak_checks import NS_PER_MS, check_runs, find_earlier_ends
 
 JOB = "00000000000000b1"
@@ -31,7 +31,7 @@
 
 @then("callers have submitted again")
 def submitted_again(context):
-    assert any(len(job.submissions) > 1 for job in context.soak.jobs if not job.stored)
+    assert any(len(job.submissions) > 1 for job in context.soak.jobs if not job.durable)
 
 
 # Without processes: what the checks make of histories.
@@ -68,7 +68,7 @@
 
 @when("the runs of a {kind} job are checked")
 def check_histories(context, kind):
-    job = Submitted(JOB, kind == "stored", [200])
+    job = SubmittedJob(JOB, kind == "stored", [200])
     context.broken = check_runs(context.histories, [job], context.killed_ns)
 
 
--- a/features/steps/urgent_work_steps.py
+++ b/features/steps/urgent_work_steps.py
@@ -17,7 +17,7 @@
 from gapdrum.core.runner_ledger import Run, RunnerLedger
 from gapdrum.core.runner_views import RunnerView
 from gapdrum.entry.configuration_watch import ConfigurationWatch
-from gapdrum.operator_feed import TableNews
+from gapdrum.operator_feed import TableUpdate
 from gapdrum.platform.operator_table import CONFIGURATION_ROW
 
 UPSTREAM = "workers"
@@ -130,7 +130,7 @@
 @given('a runner of {capacity:d} with demand for previews, and runs of "{queue}" on {room:d}')
 def busy_runner(context, capacity, queue, room):
     now_ms = 1_000
-    timers = SimpleNamespace(now_ms=lambda: now_ms, awake_ms=lambda: now_ms)
+    timers = SimpleNamespace(now_ms=lambda: now_ms, monotonic_ms=lambda: now_ms)
     ledger = RunnerLedger("i-1", UPSTREAM, (), Resources(capacity, 64_000, 0), polled=True)
     context.runner = RunnerContext(ledger, None, Grants(), 1_000, timers, None, list)
     key = RunKey(TaskName("job-0", 0, 0, 0), 1)
@@ -199,7 +199,7 @@
     )
     document = {"version": context.version, "routes": routes, "limits": limits}
     row = Row(CONFIGURATION_ROW, json.dumps(document).encode(), context.version)
-    context.watch.apply_table(TableNews((row,), context.version, is_whole=True))
+    context.watch.apply_table(TableUpdate((row,), context.version, is_snapshot=True))
 
 
 @given("a configuration with these shares is in force")
--- a/features/steps/zone_drain_steps.py
+++ b/features/steps/zone_drain_steps.py
@@ -29,7 +29,7 @@
 from gapdrum.core.rows import Row, RowKey
 from gapdrum.core.runner_models import RunnerSnapshot
 from gapdrum.entry.admission import Admission
-from gapdrum.operator_feed import TableNews
+from gapdrum.operator_feed import TableUpdate
 from gapdrum.platform.operator_table import OPERATOR_TABLE, ZONE_DRAIN_PREFIX
 from gapdrum.transport.http_client import NoReplyError
 from gapdrum.zone_watch import ZoneWatch
@@ -133,30 +133,30 @@
 
 @when('version {version:d} of the table drains "{zone}"')
 def table_drains(context, version, zone):
-    context.watch.apply_table(TableNews((drain_row(zone, version),), version, is_whole=True))
+    context.watch.apply_table(TableUpdate((drain_row(zone, version),), version, is_snapshot=True))
 
 
 @when("another process sends version {version:d} without drained zones")
 def told(context, version):
-    context.watch.take_told(orders.ZoneDrainsTold(version, ()), "entry-2")
+    context.watch.apply_from_peer(orders.ZoneDrainsTold(version, ()), "entry-2")
 
 
 @when("the whole table is read as of version {version:d}, without drained zones")
 def stale_read(context, version):
-    context.watch.apply_table(TableNews((), version, is_whole=True))
+    context.watch.apply_table(TableUpdate((), version, is_snapshot=True))
 
 
 @when('the feed goes on to version {version:d}, where "{zone}" is {state}')
 def feed_goes_on(context, version, zone, state):
     value = b"{}" if state == "drained" else None
     row = drain_row(zone, version, value)
-    context.watch.apply_table(TableNews((row,), version, is_whole=False))
+    context.watch.apply_table(TableUpdate((row,), version, is_snapshot=False))
 
 
 @when('version {version:d} of the table holds "config", "wave/3", "evacuate/" and "{last}"')
 def table_holds(context, version, last):
     rows = tuple(operator_row(key, version) for key in ("config", "wave/3", "evacuate/", last))
-    context.watch.apply_table(TableNews(rows, version, is_whole=True))
+    context.watch.apply_table(TableUpdate(rows, version, is_snapshot=True))
 
 
 @then('the zone "{zone}" is closed')
@@ -228,7 +228,7 @@
 @given('an agent whose runner has room, in the zone "{zone}"')
 def agent_in_zone(context, zone):
     new_agent(context, zone)
-    context.watch.take_told(orders.ZoneDrainsTold(1, ()), "entry-1")
+    context.watch.apply_from_peer(orders.ZoneDrainsTold(1, ()), "entry-1")
 
 
 @given('an agent that has just started, in the zone "{zone}"')
@@ -239,20 +239,20 @@
 @given('an agent whose runner answers no start, in the zone "{zone}"')
 def unanswering_agent(context, zone):
     new_agent(context, zone, answers=False)
-    context.watch.take_told(orders.ZoneDrainsTold(1, ()), "entry-1")
+    context.watch.apply_from_peer(orders.ZoneDrainsTold(1, ()), "entry-1")
 
 
 @when('it learns that "{zone}" is drained')
 def agent_learns(context, zone):
     version = context.watch.drains.version + 1
-    context.watch.apply_table(TableNews((drain_row(zone, version),), version, is_whole=True))
+    context.watch.apply_table(TableUpdate((drain_row(zone, version),), version, is_snapshot=True))
 
 
 @when("it learns that no zone is drained")
 def agent_learns_restored(context):
     context.link.sent.clear()
     version = context.watch.drains.version + 1
-    context.watch.apply_table(TableNews((), version, is_whole=True))
+    context.watch.apply_table(TableUpdate((), version, is_snapshot=True))
 
 
 @when("an entry sends that no zone is drained")
--- a/src/gapdrum/administration.py
+++ b/src/gapdrum/administration.py
@@ -4,11 +4,11 @@
 
 import attrs
 
-from gapdrum.configurations import ChangeRequest
 from gapdrum.conversion import structure, unstructure
 from gapdrum.credentials import OPERATOR, Credentials, require_subtree
 from gapdrum.http import Request, Response, Router, run_on_loop
 from gapdrum.settings import FIELD_NAMES
+from gapdrum.settings_store import ChangeRequest
 
 CALL_TIMEOUT_S = 30
 MAX_WAIT_MS = 60_000
--- a/src/gapdrum/agent/entry_orders.py
+++ b/src/gapdrum/agent/entry_orders.py
@@ -68,7 +68,7 @@
         self.shares.take(link.entry, message.queues, self._timers.now_ms())
 
     def _apply_zones(self, link: EntryLink, message: orders.ZoneDrainsTold) -> None:
-        self.zones.take_told(message, source=link.entry)
+        self.zones.apply_from_peer(message, source=link.entry)
 
     def _apply_order(self, link: EntryLink, order: orders.StartOrder) -> None:
         link.orders += len(order.runs)
--- a/src/gapdrum/agent/notifier.py
+++ b/src/gapdrum/agent/notifier.py
@@ -9,7 +9,7 @@
 from gapdrum.core import orders
 from gapdrum.core.models import Resources
 from gapdrum.core.runner_ledger import Run
-from gapdrum.timers import Delayed, Timers
+from gapdrum.timers import CoalescedCallback, Timers
 
 # Least time between reports of free room to entries that are short of room.
 SCARCE_INTERVAL_MS = 25
@@ -46,8 +46,10 @@
         # Runners with unsent changes of room: for entries that are short of room, and for all.
         self._changed_scarce: set[str] = set()
         self._changed: set[str] = set()
-        self._scarce_timer = Delayed(timers, SCARCE_INTERVAL_MS, self.send_room_to_waiting)
-        self._relaxed_timer = Delayed(timers, RELAXED_INTERVAL_MS, self.send_room)
+        self._scarce_timer = CoalescedCallback(
+            timers, SCARCE_INTERVAL_MS, self.send_room_to_waiting
+        )
+        self._relaxed_timer = CoalescedCallback(timers, RELAXED_INTERVAL_MS, self.send_room)
         # The last report of each runner's state to all entries; only changes are sent again.
         self._sent_reports: dict[str, orders.RunnerReport] = {}
 
@@ -225,8 +227,8 @@
         """Schedule reports of a runner's room to all entries."""
         self._changed_scarce.add(runner_id)
         self._changed.add(runner_id)
-        self._scarce_timer.ask()
-        self._relaxed_timer.ask()
+        self._scarce_timer.schedule()
+        self._relaxed_timer.schedule()
 
     def send_full_state(self, link: EntryLink) -> None:
         """Send the state, room and runs of all runners to an entry that has just joined."""
--- a/src/gapdrum/agent/program.py
+++ b/src/gapdrum/agent/program.py
@@ -123,7 +123,7 @@
     def _handle_join(self, link: EntryLink) -> None:
         """Send the held runs to an entry that has just joined, and have it claim its own."""
         if self.zones.drains.known:
-            link.send(self.zones.drains_told())
+            link.send(self.zones.drains_message())
         self.orders.require_claims(link)
         self.notifier.send_full_state(link)
 
@@ -131,7 +131,7 @@
         """Apply drained zones, and send them to the entries, which may lack access to the store."""
         self.runners.take_zones()
         self.links.update_links()
-        drains = self.zones.drains_told()
+        drains = self.zones.drains_message()
         for link in self.links:
             link.send(drains)
 
--- a/src/gapdrum/agent/run_launcher.py
+++ b/src/gapdrum/agent/run_launcher.py
@@ -90,7 +90,7 @@
         )
         self.ledger.begin(run)
         self._context.offers.use(owner, row.room)
-        lease_ends_ms = self._context.timers.awake_ms() + left_ms + EXPIRY_MARGIN_MS
+        lease_ends_ms = self._context.timers.monotonic_ms() + left_ms + EXPIRY_MARGIN_MS
         self._call_start(run, order.spec, lease_ends_ms)
 
     def _call_start(self, run: Run, spec: str, lease_ends_ms: int) -> None:
@@ -113,7 +113,7 @@
                 clock_ms = await self._context.calls.start(
                     run.key, spec, run.start_expires_ms, self._context.fence, START_TIMEOUT_MS
                 )
-                self.ledger.update_clock(clock_ms, self._context.timers.awake_ms())
+                self.ledger.update_clock(clock_ms, self._context.timers.monotonic_ms())
                 self._record_contact()
                 outcome = orders.STARTED
                 sent = True
@@ -152,7 +152,7 @@
             return False  # a poll has shown the run at work
         if run.stopping:
             return False  # if the stop was lost, a repeated start would run
-        return self.ledger.clock_floor(self._context.timers.awake_ms()) < run.start_expires_ms
+        return self.ledger.clock_floor(self._context.timers.monotonic_ms()) < run.start_expires_ms
 
     def _outcome_of_rejection(
         self, run: Run, error: RunnerRejectedError, unanswered: bool
--- a/src/gapdrum/agent/runner_context.py
+++ b/src/gapdrum/agent/runner_context.py
@@ -115,14 +115,15 @@
         """
         allowed_ms = self.grants.lease_deadline_ms(owner, durable) - now_ms
         return (
-            self.latest_lease_end_ms > self.ledger.clock_floor(self.timers.awake_ms()) + allowed_ms
+            self.latest_lease_end_ms
+            > self.ledger.clock_floor(self.timers.monotonic_ms()) + allowed_ms
         )
 
     def extend_lease(self, left_ms: int) -> int:
         """Return the end on the runner's clock of a lease to ask for, 0 for no renewal."""
         if left_ms <= 0:
             return 0
-        until_ms = self.ledger.clock_floor(self.timers.awake_ms()) + left_ms
+        until_ms = self.ledger.clock_floor(self.timers.monotonic_ms()) + left_ms
         self.latest_lease_end_ms = max(self.latest_lease_end_ms, until_ms)
         return until_ms
 
--- a/src/gapdrum/agent/runner_controller.py
+++ b/src/gapdrum/agent/runner_controller.py
@@ -173,7 +173,7 @@
         now_ms = self._timers.now_ms()
         ledger = self.ledger
         was_ejected = bool(ledger.health.ejected_until_ms)
-        ledger.update_clock(snapshot.clock_ms, self._timers.awake_ms())
+        ledger.update_clock(snapshot.clock_ms, self._timers.monotonic_ms())
         self._mark_reachable()
         events = ledger.apply_snapshot(snapshot, now_ms)
         self._log_interrupted(events, now_ms)
@@ -232,7 +232,7 @@
             if error.clock_ms is None:
                 raise
             clock_ms = error.clock_ms
-        self.ledger.update_clock(clock_ms, self._timers.awake_ms())
+        self.ledger.update_clock(clock_ms, self._timers.monotonic_ms())
         self._schedule.record_contact(self._timers.now_ms())
         self._context.fence = max(1, clock_ms)
         # An earlier incarnation of this agent may have asked for a lease up to this time.
@@ -265,7 +265,7 @@
 
     def _check_lapse(self) -> None:
         """Report the runs of an unreachable runner as lost once their lease has lapsed there."""
-        if self.ledger.runs and self._timers.awake_ms() > self._context.bound.ends_ms:
+        if self.ledger.runs and self._timers.monotonic_ms() > self._context.bound.ends_ms:
             lapsed = [run for run in self.ledger.runs.values() if not run.calling]
             if lapsed:
                 self._log.write("runs_lapsed_unseen", runner=self.runner_id, runs=len(lapsed))
--- a/src/gapdrum/agent/runner_poller.py
+++ b/src/gapdrum/agent/runner_poller.py
@@ -115,7 +115,9 @@
         """Poll once, and renew the lease by ``left_ms``; raises what the call raises."""
         context = self._context
         until_ms = context.extend_lease(left_ms)
-        call = context.bound.begin_renewal(context.timers.awake_ms() + left_ms + EXPIRY_MARGIN_MS)
+        call = context.bound.begin_renewal(
+            context.timers.monotonic_ms() + left_ms + EXPIRY_MARGIN_MS
+        )
         sent = True
         try:
             return await context.calls.poll(
--- a/src/gapdrum/agents.py
+++ b/src/gapdrum/agents.py
@@ -21,13 +21,13 @@
 from gapdrum.logs import set_up_logs
 from gapdrum.messages import (
     STATE_LEAVING,
+    AttemptStatus,
     Fence,
     Inquire,
     PlaceTasks,
     RunnerLoad,
     SettingsPush,
     TaskReport,
-    TaskRow,
     Withdraw,
 )
 from gapdrum.metrics import Metrics
@@ -79,14 +79,14 @@
         """Act on one message of an entry."""
         now_ms = self.timers.now_ms()
         if isinstance(message, PlaceTasks):
-            self.links.take_orders(link, len(message.tasks))
+            self.links.record_orders(link, len(message.tasks))
             self._own(message.job_id, message.epoch, link)
             rows = self.ledger.place(message, now_ms, self.free_slots)
             self._report_rows(link, message.job_id, rows)
             self._start_next()
             still_queued = min(self.ledger.queued, len(message.tasks))
             self.metrics.orders_queued.inc(still_queued)
-            self.links.load_changed()
+            self.links.schedule_load_update()
         elif isinstance(message, Withdraw):
             self._report_rows(link, message.job_id, self.ledger.withdraw(message))
         elif isinstance(message, Fence):
@@ -139,7 +139,7 @@
         self.ledger.finish(task, outcome.event, outcome.reason, outcome.result, run_ms)
         self._start_next()
         self._report(task)
-        self.links.load_changed()
+        self.links.schedule_load_update()
 
     def _call_runner(self, task: AttemptRecord) -> RunOutcome:
         """Check the limit directly before the call; a process may have been paused."""
@@ -161,7 +161,7 @@
         if link is not None:
             self._report_rows(link, task.job_id, [task.row()])
 
-    def _report_rows(self, link: EntryLink, job_id: str, rows: list[TaskRow]) -> None:
+    def _report_rows(self, link: EntryLink, job_id: str, rows: list[AttemptStatus]) -> None:
         """Report under the highest epoch seen, so that an entry learns that it lost the job."""
         epoch = self.ledger.epoch_of(job_id)
         for row in rows:
@@ -184,7 +184,7 @@
         self.runner.announce(announcement, self.timers.now_ms())
         if known != announcement:
             logger.info("runner announced {}", announcement)
-            self.links.push_loads()
+            self.links.send_loads()
         self.ledger.leaving = self.runner.leaving or self.state == DRAINING
         self._start_next()
 
@@ -193,7 +193,7 @@
         self.runner.leaving = True
         self.ledger.leaving = True
         logger.info("runner leaving")
-        self.links.push_loads()
+        self.links.send_loads()
         self._hand_back(ledgers.REASON_LEAVING)
 
     def _hand_back(self, reason: str) -> None:
@@ -224,13 +224,13 @@
         except InvalidInputError as error:
             logger.error("settings refused: {}", error.message)
             return
-        self.settings.offer(tree)
+        self.settings.apply_if_newer(tree)
         self.ledger.queue_limit = self.settings.root.agent_queue_limit_tasks
         self.ledger.zone_drained = self.settings.is_zone_drained(self.config.zone)
         if self.ledger.zone_drained:
             self._hand_back(ledgers.REASON_ZONE_DRAINED)
         self.metrics.settings_version.set(tree.version)
-        self.links.push_loads()
+        self.links.send_loads()
 
 
 def build_router(agent: Agent, loop: asyncio.AbstractEventLoop) -> Router:
@@ -267,7 +267,7 @@
     agent.state = PROCESS_CHART.next_state(agent.state, "serve")
     logger.info("agent {} serves on port {}", config.agent_id, port)
     agent.links.start()
-    agent.timers.subscribe(HEARTBEAT_INTERVAL_MS, agent.links.push_loads)
+    agent.timers.subscribe(HEARTBEAT_INTERVAL_MS, agent.links.send_loads)
     agent.timers.subscribe(FORGET_INTERVAL_MS, agent.forget)
     await stopping.wait()
     await agent.drain()
--- a/src/gapdrum/backoff.py
+++ b/src/gapdrum/backoff.py
@@ -13,20 +13,20 @@
 
     ::
 
-        backoff = Backoff(first_ms=10, most_ms=160)
+        backoff = Backoff(first_ms=10, max_ms=160)
         while not await try_it():
             await backoff.pause()
         backoff.reset()
     """
 
     first_ms: int
-    most_ms: int
+    max_ms: int
     _failures: int = 0
 
     async def pause(self) -> None:
         """Wait after a failure."""
-        pause_ms = min(self.most_ms, self.first_ms << self._failures)
-        if pause_ms < self.most_ms:
+        pause_ms = min(self.max_ms, self.first_ms << self._failures)
+        if pause_ms < self.max_ms:
             self._failures += 1
         await asyncio.sleep(pause_ms / MS_PER_S)
 
--- a/src/gapdrum/cli.py
+++ b/src/gapdrum/cli.py
@@ -15,7 +15,7 @@
 
 from gapdrum.conversion import unstructure
 from gapdrum.exceptions import GapdrumError
-from gapdrum.losses import draw_losses, sum_up_losses
+from gapdrum.losses import draw_losses, summarize_losses
 from gapdrum.sessions import Session
 from gapdrum.settings import DRAINED
 from gapdrum.timelines import build_timeline, read_lines
@@ -321,7 +321,7 @@
 
     Seconds count from the first line; jobs are late by the work as it was.
     """
-    found = sum_up_losses(read_lines(files))
+    found = summarize_losses(read_lines(files))
     if as_json:
         typer.echo(json.dumps([unstructure(loss) for loss in found]))
         return
--- a/src/gapdrum/codec.py
+++ b/src/gapdrum/codec.py
@@ -35,7 +35,7 @@
     return register
 
 
-def kind_of(instance: object) -> str:
+def message_name(instance: object) -> str:
     """Return the name that metrics use for this message, such as ``PlaceTasks``."""
     return type(instance).__name__
 
--- a/src/gapdrum/core/runner_ledger.py
+++ b/src/gapdrum/core/runner_ledger.py
@@ -202,18 +202,18 @@
             return ZERO_RESOURCES
         return self.capacity - self.used
 
-    def clock_floor(self, awake_ms: int) -> int:
+    def clock_floor(self, monotonic_ms: int) -> int:
         """Return a lower bound of the runner's clock, valid also after both were suspended."""
-        return self.clock_ms + int((awake_ms - self.clock_read_ms) * CLOCK_RATE_FLOOR)
+        return self.clock_ms + int((monotonic_ms - self.clock_read_ms) * CLOCK_RATE_FLOOR)
 
-    def update_clock(self, clock_ms: int | None, awake_ms: int) -> None:
+    def update_clock(self, clock_ms: int | None, monotonic_ms: int) -> None:
         """Record a reading of the runner's clock from an answer received now.
 
         The runner took the reading earlier, so adding the time from now on gives a lower bound.
         """
         if clock_ms is not None and clock_ms >= self.clock_ms:
             self.clock_ms = clock_ms
-            self.clock_read_ms = awake_ms
+            self.clock_read_ms = monotonic_ms
 
     def begin(self, run: Run) -> None:
         """Take room for a run that is about to be started.
--- a/src/gapdrum/dispatcher.py
+++ b/src/gapdrum/dispatcher.py
@@ -34,13 +34,13 @@
 from gapdrum.messages import JobHoldings
 from gapdrum.metrics import Metrics
 from gapdrum.models import Answer, Progress, Submission
-from gapdrum.peers import Peers
+from gapdrum.peers import PeerClient
 from gapdrum.recovery_coordinator import RecoveryCoordinator
 from gapdrum.scheduler import OpenJob, Scheduler, Sender
 from gapdrum.settings import SettingsHolder
 from gapdrum.task_set import TaskSet
 from gapdrum.timers import MS_PER_S, Timers
-from gapdrum.tracking import Tracked
+from gapdrum.tracked_jobs import TrackedJob
 
 MAX_ANSWERED_TASKS = 60_000
 CLOSE_TIMEOUT_MS = 500
@@ -63,7 +63,7 @@
         settings: SettingsHolder,
         committer: Committer,
         metrics: Metrics,
-        peer_links: Peers,
+        peer_links: PeerClient,
         send: Sender,
     ) -> None:
         self.owner = owner
@@ -89,7 +89,7 @@
             self._supersede,
         )
         self.leaving = False
-        self._tracked: OrderedDict[str, Tracked] = OrderedDict()
+        self._tracked: OrderedDict[str, TrackedJob] = OrderedDict()
         self._answered_tasks = 0
         self.recoveries = RecoveryCoordinator(self, send)
         self._tasks = TaskSet()
@@ -126,7 +126,7 @@
         record = self.leases.find_alive(held.claim.owner)
         if record is None or record.owner == self.owner:
             raise NotFoundError("the job's owner is gone; fetch the job to recover it")
-        await self.peers.ask(record, peers.CANCEL, job_id, 0)
+        await self.peers.send_request(record, peers.CANCEL, job_id, 0)
 
     def cancel_here(self, job_id: str) -> bool:
         """Cancel a job if this entry owns it."""
@@ -193,7 +193,7 @@
 
     # -- processing of a submission --------------------------------------
 
-    async def _start(self, submission: Submission, tracked: Tracked) -> Answer | None:
+    async def _start(self, submission: Submission, tracked: TrackedJob) -> Answer | None:
         """Admit and claim a submission; return its answer if another claim already has one."""
         refusal = find_refusal(submission, self._admission_inputs(submission))
         if refusal is not None:
@@ -219,7 +219,7 @@
         self.leases.observe(rows, self.timers.now_ms())
 
     async def _resolve_claim(
-        self, job_id: str, submission: Submission | None, tracked: Tracked
+        self, job_id: str, submission: Submission | None, tracked: TrackedJob
     ) -> Answer | None:
         """Read and resolve the claim of a job, whichever entry owns it."""
         held = await self._read_claim(job_id)
@@ -227,7 +227,7 @@
             raise NotFoundError("no such job")
         return await self.recoveries.resolve_claim(held, submission, tracked)
 
-    def adopt_job(self, tracked: Tracked, held: VersionedClaim, job: Job) -> None:
+    def adopt_job(self, tracked: TrackedJob, held: VersionedClaim, job: Job) -> None:
         """Become the owner of a claimed job until it is answered or its deadline passes."""
         tracked.claim = held
         open_job = OpenJob(job, frozenset(held.claim.roster))
@@ -255,7 +255,7 @@
             return
         self._answer(open_job)
 
-    async def _close_claim(self, tracked: Tracked, open_job: OpenJob) -> None:
+    async def _close_claim(self, tracked: TrackedJob, open_job: OpenJob) -> None:
         """Close the claim, then answer; if closing fails, report "unknown" for "not run"."""
         held = tracked.claim
         closed = attrs.evolve(held.claim, closed=True)
@@ -297,7 +297,7 @@
     # -- refusals and the store ------------------------------------------
 
     async def _refuse(
-        self, submission: Submission, refusal: Refusal, tracked: Tracked
+        self, submission: Submission, refusal: Refusal, tracked: TrackedJob
     ) -> Answer | None:
         """Refuse a submission, unless its job has a claim already, which is resolved instead."""
         self.metrics.refusals.labels(refusal.code).inc()
@@ -357,16 +357,16 @@
 
     # -- bookkeeping -----------------------------------------------------
 
-    def _track(self, job_id: str, team: str, body_hash: str | None) -> Tracked:
+    def _track(self, job_id: str, team: str, body_hash: str | None) -> TrackedJob:
         result = asyncio.get_running_loop().create_future()
         result.add_done_callback(lambda future: future.exception())
-        tracked = self._tracked[job_id] = Tracked(job_id, team, body_hash, result)
+        tracked = self._tracked[job_id] = TrackedJob(job_id, team, body_hash, result)
         return tracked
 
-    def _run(self, tracked: Tracked, steps) -> None:
+    def _run(self, tracked: TrackedJob, steps) -> None:
         self._tasks.spawn(self._drive(tracked, steps))
 
-    async def _drive(self, tracked: Tracked, steps) -> None:
+    async def _drive(self, tracked: TrackedJob, steps) -> None:
         """Run the steps of a job; an error becomes its result, and the key may be reused."""
         try:
             answer = await steps
@@ -383,7 +383,7 @@
         if answer is not None:
             self._resolve(tracked, answer)
 
-    def _resolve(self, tracked: Tracked, answer: Answer) -> None:
+    def _resolve(self, tracked: TrackedJob, answer: Answer) -> None:
         tracked.kept_since_ms = self.timers.now_ms()
         tracked.answered_tasks = len(answer.tasks)
         self._answered_tasks += tracked.answered_tasks
@@ -397,7 +397,7 @@
             self.members.of_upstream(upstream),
             self.members.accepting_work(upstream),
             self.scheduler.queued(upstream),
-            self.scheduler.run_times.of(upstream, submission.kind),
+            self.scheduler.run_times.for_kind(upstream, submission.kind),
             self.settings.for_upstream(upstream),
             self.scheduler.quotas,
             self.leaving,
@@ -419,7 +419,7 @@
 
     async def _ask_decisions(self, record: EntryRecord, job_id: str) -> list[Decision]:
         try:
-            document = await self.peers.ask(record, peers.EXPLAIN, job_id, 0)
+            document = await self.peers.send_request(record, peers.EXPLAIN, job_id, 0)
         except StreamClosedError:
             return []
         return structure(json.loads(document), list[Decision]) if document else []
--- a/src/gapdrum/entries.py
+++ b/src/gapdrum/entries.py
@@ -13,7 +13,6 @@
 from gapdrum.claims import Owner
 from gapdrum.commits import Committer
 from gapdrum.config import EntryConfig, load_config
-from gapdrum.configurations import POLL_INTERVAL_MS, Configurations
 from gapdrum.credentials import Credentials
 from gapdrum.dispatcher import Dispatcher
 from gapdrum.exceptions import GapdrumError, StoreError
@@ -23,10 +22,11 @@
 from gapdrum.links import HEARTBEAT_INTERVAL_MS, AgentLinks
 from gapdrum.logs import set_up_logs
 from gapdrum.metrics import Metrics
-from gapdrum.peers import Peers
+from gapdrum.peers import PeerClient
 from gapdrum.probes import add_probe_routes
 from gapdrum.resources import JobResources
 from gapdrum.settings import DRAINED, SettingsHolder
+from gapdrum.settings_store import POLL_INTERVAL_MS, SettingsStore
 from gapdrum.states import load_chart
 from gapdrum.store import StoreClient
 from gapdrum.timers import MS_PER_S, Timers
@@ -52,7 +52,7 @@
         self.committer = Committer(
             StoreClient(config.store_url), timers, self.settings.root.store_writes_per_s
         )
-        self.configurations = Configurations(self.committer, self.settings, timers)
+        self.configurations = SettingsStore(self.committer, self.settings, timers)
         self.links = AgentLinks(config.stream_token, self.metrics)
         self.dispatcher = Dispatcher(
             self.owner,
@@ -61,7 +61,7 @@
             self.settings,
             self.committer,
             self.metrics,
-            Peers(config.entry_id, config.stream_token, self.metrics),
+            PeerClient(config.entry_id, config.stream_token, self.metrics),
             self.links.send,
         )
         self.links.dispatcher = self.dispatcher
--- a/src/gapdrum/entry/configuration_watch.py
+++ b/src/gapdrum/entry/configuration_watch.py
@@ -7,7 +7,7 @@
 from gapdrum.core.configuration import Configuration
 from gapdrum.core.rows import ABSENT, Row
 from gapdrum.event_log import EventLog
-from gapdrum.operator_feed import TableNews
+from gapdrum.operator_feed import TableUpdate
 from gapdrum.platform.configuration import decode_configuration
 from gapdrum.platform.operator_table import CONFIGURATION_ROW
 from gapdrum.timers import MS_PER_S
@@ -40,7 +40,7 @@
                 await asyncio.wait_for(self._applied.wait(), FIRST_WITHIN_MS / MS_PER_S)
         return self.current
 
-    def apply_table(self, news: TableNews) -> None:
+    def apply_table(self, news: TableUpdate) -> None:
         """Apply the configuration's row, if it is among rows of the operators' table."""
         for row in news.rows:
             if row.at == CONFIGURATION_ROW and row.value is not None:
--- a/src/gapdrum/entry/links.py
+++ b/src/gapdrum/entry/links.py
@@ -92,7 +92,7 @@
         stream.send(self.greeting())
         if self.zones.drains.known:
             # Before any order, so that an agent in a drained zone starts no run.
-            stream.send(self.zones.drains_told())
+            stream.send(self.zones.drains_message())
         # Else runs of claimed jobs would be stopped before the first heartbeat is echoed.
         stream.send(self._echo(greeting.clock_ms))
         claims = self.pending_claims()
@@ -139,7 +139,7 @@
         elif isinstance(message, orders.JobLost):
             dispatch.drop_claimed_job(message)
         elif isinstance(message, orders.ZoneDrainsTold):
-            self.zones.take_told(message, source=view.agent)
+            self.zones.apply_from_peer(message, source=view.agent)
         elif isinstance(message, orders.AgentLeaving):
             del self._streams[view.agent]
             dispatch.agent_departed(view, now_ms)
--- a/src/gapdrum/entry/program.py
+++ b/src/gapdrum/entry/program.py
@@ -176,7 +176,7 @@
         self.links.holds_lease = lambda: self.lease.valid
         self.links.pending_claims = self.takeover.pending_claims
         self.links.zones = self.zones
-        self.links.follows_table = lambda: self.operators.is_followed
+        self.links.follows_table = lambda: self.operators.is_current
 
     # Effects of the dispatch's decisions, see ``core.effects.Effects``.
 
@@ -241,7 +241,7 @@
     def _apply_zone_drains(self) -> None:
         """Stop placement in drained zones, and notify the agents."""
         self.dispatch.fleet.drained_zones = self.zones.drains.zones
-        self.links.broadcast(self.zones.drains_told())
+        self.links.broadcast(self.zones.drains_message())
         self.schedule_placement()
 
     def _drop_durable_jobs(self) -> None:
--- a/src/gapdrum/entry/waiting_callers.py
+++ b/src/gapdrum/entry/waiting_callers.py
@@ -13,7 +13,7 @@
 from gapdrum.entry.acceptance import build_queue_job, initial_record
 from gapdrum.entry.lease import Lease
 from gapdrum.event_log import EventLog
-from gapdrum.pauses import PauseWatch
+from gapdrum.pauses import PauseDetector
 from gapdrum.timers import MS_PER_S, Timers
 
 # Ended jobs whose final state is kept in memory, so that a resubmission gets the same answer.
@@ -61,7 +61,7 @@
         self._log = log
         self._callers: dict[str, set[asyncio.Future[WaitOutcome]]] = {}
         self._answers: OrderedDict[str, JobState] = OrderedDict()
-        self._pauses = PauseWatch(timers.now_ms())
+        self._pauses = PauseDetector(timers.now_ms())
         self._wait_ends_ms: dict[asyncio.Future, int] = {}  # when each wait ends
 
     async def run(
--- a/src/gapdrum/entrylinks.py
+++ b/src/gapdrum/entrylinks.py
@@ -38,8 +38,8 @@
         self.stream: Stream | None = None
         self.received = 0
         self.heard_at_ms = 0
-        self.told_free = -1
-        self.claimant = SlotRequester()
+        self.last_sent_free_slots = -1
+        self.requester = SlotRequester()
 
     @property
     def is_open(self) -> bool:
@@ -57,7 +57,7 @@
 
     def send_report(self, report: TaskReport) -> None:
         """Send a report, which also tells the entry the load."""
-        self.told_free = report.free_slots
+        self.last_sent_free_slots = report.free_slots
         self.send(report)
 
 
@@ -118,17 +118,17 @@
 
     def free_for(self, link: EntryLink) -> int:
         """Return the free slots to state to an entry: fewer when entries compete."""
-        open_links = [other.claimant for other in self._links.values() if other.is_open]
+        open_links = [other.requester for other in self._links.values() if other.is_open]
         free = self._agent.free_slots - self._agent.ledger.queued
         self._shares.allocate(open_links, free, self._agent.timers.now_ms())
-        return self._shares.free_for(link.claimant, open_links, free)
+        return self._shares.free_for(link.requester, open_links, free)
 
-    def take_orders(self, link: EntryLink, orders: int) -> None:
+    def record_orders(self, link: EntryLink, orders: int) -> None:
         """Note that an entry's orders came in."""
         link.received += orders
-        self._shares.take(link.claimant, orders)
+        self._shares.take(link.requester, orders)
 
-    def load_changed(self) -> None:
+    def schedule_load_update(self) -> None:
         """Tell entries soon if their picture of the free slots has become wrong.
 
         Changes within ``PUSH_DELAY_MS`` are told together, and nothing runs
@@ -145,13 +145,13 @@
             if not link.is_open:
                 continue
             free = self.free_for(link)
-            edge = (free > 0) != (link.told_free > 0)
-            if edge or abs(free - link.told_free) >= threshold:
+            edge = (free > 0) != (link.last_sent_free_slots > 0)
+            if edge or abs(free - link.last_sent_free_slots) >= threshold:
                 self._tell(link)
-        if any(link.claimant.offered for link in self._links.values()):
-            self.load_changed()
+        if any(link.requester.offered for link in self._links.values()):
+            self.schedule_load_update()
 
-    def push_loads(self) -> None:
+    def send_loads(self) -> None:
         """Tell all entries the load: the heartbeat, and at changes of state."""
         limit_ms = self._agent.timers.now_ms() - SILENCE_LIMIT_MS
         for link in self._links.values():
@@ -169,7 +169,7 @@
 
     def _tell(self, link: EntryLink) -> None:
         load = self._agent.load_for(link)
-        link.told_free = load.free_slots
+        link.last_sent_free_slots = load.free_slots
         link.send(load)
 
     async def _maintain(self, key: tuple[str, str], link: EntryLink) -> None:
@@ -214,7 +214,7 @@
         if isinstance(message, EntryHello) and message.settings_version < settings.version:
             link.send(SettingsPush(settings.version, dump_tree(settings.tree)))
         elif isinstance(message, EntryHeartbeat):
-            self._shares.record_waiting(link.claimant, message.waiting)
-            self.load_changed()
+            self._shares.record_waiting(link.requester, message.waiting)
+            self.schedule_load_update()
         elif not isinstance(message, EntryHello | EntryLeaving):
             self._agent.take(link, message)
--- a/src/gapdrum/event_log.py
+++ b/src/gapdrum/event_log.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 from gapdrum.events import LATENCIES
-from gapdrum.measures import Measures
-from gapdrum.timers import Delayed, Timers
+from gapdrum.process_metrics import ProcessMetrics
+from gapdrum.timers import CoalescedCallback, Timers
 
 STDOUT = 1
 # Lines that wait for a slow reader of standard output; about 2 MB, a few seconds at full load.
@@ -37,21 +37,21 @@
 
     def __init__(self, instance: str, timers: Timers) -> None:
         self.dropped: Counter[str] = Counter()
-        self.measures = Measures()
+        self.measures = ProcessMetrics()
         self.measures.counters["log_lines_dropped"] = self.dropped.total
         self._instance = instance
         self._timers = timers
         self._lines: deque[bytes] = deque()
         self._left = MAX_LINES_PER_S
         self._rest = b""
-        self._flush_soon: Delayed | None = None  # once it is open
+        self._flush_soon: CoalescedCallback | None = None  # once it is open
 
     def open(self) -> None:
         """Send the lines to standard output from now on, with what fails in the timers."""
         os.set_blocking(STDOUT, False)
         self._timers.on_error = self._note_error
-        self._flush_soon = Delayed(self._timers, FLUSH_INTERVAL_MS, self.flush)
-        self._flush_soon.ask()
+        self._flush_soon = CoalescedCallback(self._timers, FLUSH_INTERVAL_MS, self.flush)
+        self._flush_soon.schedule()
         self._timers.subscribe(1_000, self._refill)
 
     def write(self, event: str, **fields: Any) -> None:
@@ -67,14 +67,14 @@
 
     def _plan_flush(self) -> None:
         if self._flush_soon is not None:
-            self._flush_soon.ask()
+            self._flush_soon.schedule()
 
     def _measure(self, event: str, fields: dict[str, Any]) -> None:
         reason = fields.get("reason", fields.get("end", fields.get("state", "")))
         self.measures.events[event, str(reason)[:MAX_REASON_LENGTH]] += 1
         for kind, field in LATENCIES:
             if kind == event:
-                self.measures.note_latency(f"{event}_{field.removesuffix('_ms')}", fields[field])
+                self.measures.observe_latency(f"{event}_{field.removesuffix('_ms')}", fields[field])
 
     def _note_error(self, error: Exception) -> None:
         trace = "".join(traceback.format_exception(error))
--- a/src/gapdrum/hedging.py
+++ b/src/gapdrum/hedging.py
@@ -28,7 +28,7 @@
         submission = job.submission
         if submission.starts_allowed < 2 or job.placement_closed_reason:
             continue
-        run_time = run_times.of(submission.upstream, submission.kind)
+        run_time = run_times.for_kind(submission.upstream, submission.kind)
         if not run_time.is_learned:
             continue
         limit_ms = run_time.percentile_ms(TYPICAL_PERCENTILE) * after_percent // 100
--- a/src/gapdrum/jobs.py
+++ b/src/gapdrum/jobs.py
@@ -10,7 +10,7 @@
 import attrs
 
 from gapdrum import ledger, reasons
-from gapdrum.messages import TaskRow
+from gapdrum.messages import AttemptStatus
 from gapdrum.models import Answer, Progress, Submission, TaskOutcome, summarize_outcome
 from gapdrum.states import load_chart
 
@@ -151,7 +151,7 @@
         task.apply("place")
         return number
 
-    def report(self, agent: AgentKey, row: TaskRow) -> ReportEffect:
+    def report(self, agent: AgentKey, row: AttemptStatus) -> ReportEffect:
         """Apply an agent's row; a duplicate changes nothing."""
         task = self.tasks[row.index] if row.index < len(self.tasks) else None
         attempt = task.find_attempt(agent, row.attempt) if task else None
@@ -242,7 +242,7 @@
         state = "settled" if self.is_settled else "open"
         return Progress(self.job_id, self.submission.team, state, **counts)
 
-    def _apply_end(self, task: Task, row: TaskRow) -> None:
+    def _apply_end(self, task: Task, row: AttemptStatus) -> None:
         if row.state == ledger.DONE:
             task.result = row.result
             self._finish(task, "finish", "")
--- a/src/gapdrum/journal.py
+++ b/src/gapdrum/journal.py
@@ -20,7 +20,7 @@
 
 FLUSH_INTERVAL_MS = 1_000
 MAX_BATCH_ROWS = 20_000
-MAX_KEPT_ANSWERS = 20_000
+MAX_UNWRITTEN_ANSWERS = 20_000
 EARLY_MS = 5_000
 LATE_MS = 150_000
 
@@ -50,7 +50,7 @@
     def add_answer(self, answer: Answer) -> None:
         """Keep an answer for the next batch."""
         self._answers.append(answer)
-        del self._answers[:-MAX_KEPT_ANSWERS]
+        del self._answers[:-MAX_UNWRITTEN_ANSWERS]
 
     async def flush(self) -> bool:
         """Write what has gathered; return False if the store did not take it."""
--- a/src/gapdrum/ledger.py
+++ b/src/gapdrum/ledger.py
@@ -14,7 +14,15 @@
 
 import attrs
 
-from gapdrum.messages import Fence, Inquire, JobHoldings, PlaceTasks, TaskKey, TaskRow, Withdraw
+from gapdrum.messages import (
+    AttemptKey,
+    AttemptStatus,
+    Fence,
+    Inquire,
+    JobHoldings,
+    PlaceTasks,
+    Withdraw,
+)
 from gapdrum.states import load_chart
 
 CHART = load_chart("held_task")
@@ -38,7 +46,7 @@
     """One attempt that this agent was ordered to start or asked about, and its state."""
 
     job_id: str
-    key: TaskKey
+    key: AttemptKey
     payload: str
     state: str = CHART.initial
     reason: str = ""
@@ -49,9 +57,9 @@
         """Apply an event of the state chart; raises ChartError if it is not allowed."""
         self.state = CHART.next_state(self.state, event)
 
-    def row(self) -> TaskRow:
+    def row(self) -> AttemptStatus:
         """Return the attempt in its wire format."""
-        return TaskRow(
+        return AttemptStatus(
             self.key.index, self.key.attempt, self.state, self.reason, self.result, self.run_ms
         )
 
@@ -64,7 +72,7 @@
     epoch: int
     start_by_ms: int
     keep_until_ms: int
-    tasks: dict[TaskKey, AttemptRecord] = attrs.Factory(dict)
+    tasks: dict[AttemptKey, AttemptRecord] = attrs.Factory(dict)
 
     def holdings(self) -> JobHoldings:
         """Return all rows of the job as one message."""
@@ -108,7 +116,7 @@
         job = self._jobs.get(job_id)
         return job.epoch if job else 0
 
-    def place(self, order: PlaceTasks, now_ms: int, free_slots: int = 0) -> list[TaskRow]:
+    def place(self, order: PlaceTasks, now_ms: int, free_slots: int = 0) -> list[AttemptStatus]:
         """Apply start orders; return rows for those declined at once or known already.
 
         Beyond the free slots at most ``queue_limit`` attempts are queued.
@@ -116,7 +124,7 @@
         job = self._job_for(order.job_id, order.epoch, order.start_by_ms, now_ms)
         rows = []
         for placed in order.tasks:
-            key = TaskKey(placed.index, placed.attempt)
+            key = AttemptKey(placed.index, placed.attempt)
             known = job.tasks.get(key)
             if known is None:
                 known = AttemptRecord(order.job_id, key, placed.payload)
@@ -147,7 +155,7 @@
 
     def finish(
         self, task: AttemptRecord, event: str, reason: str, result: str, run_ms: int
-    ) -> TaskRow:
+    ) -> AttemptStatus:
         """Record the outcome of a started attempt and return its row."""
         task.apply(event)
         task.reason = reason
@@ -156,7 +164,7 @@
         task.payload = ""
         return task.row()
 
-    def withdraw(self, order: Withdraw) -> list[TaskRow]:
+    def withdraw(self, order: Withdraw) -> list[AttemptStatus]:
         """Decline attempts that are still queued; return the changed rows."""
         job = self._jobs.get(order.job_id)
         if job is None or order.epoch < job.epoch:
@@ -228,7 +236,9 @@
             self._queue.append(task)
             self._queued += 1
 
-    def _decline(self, job: JobAttempts, keys: tuple[TaskKey, ...], reason: str) -> list[TaskRow]:
+    def _decline(
+        self, job: JobAttempts, keys: tuple[AttemptKey, ...], reason: str
+    ) -> list[AttemptStatus]:
         rows = []
         for key in keys:
             task = job.tasks.get(key)
--- a/src/gapdrum/links.py
+++ b/src/gapdrum/links.py
@@ -169,7 +169,7 @@
         """Take newer settings that an agent knows: the store may be down or stale."""
         settings = self.dispatcher.settings
         if message.version > settings.version:
-            settings.offer(load_tree(message.version, message.document))
+            settings.apply_if_newer(load_tree(message.version, message.document))
 
     def _lose(self, view: RunnerView) -> None:
         """Wait a while for the return of an agent whose stream broke."""
--- a/src/gapdrum/losses.py
+++ b/src/gapdrum/losses.py
@@ -59,7 +59,7 @@
     released: Counter[str] = attrs.Factory(Counter)
     outcome: str = ""
     total_ms: int = 0
-    is_back: bool = False  # its caller has handed it in again
+    is_resubmitted: bool = False  # its caller has handed it in again
 
     @property
     def due_ms(self) -> float:
@@ -95,12 +95,12 @@
         return "late: its tasks began in time, and its answer came late"
 
 
-def sum_up_losses(lines: Iterable[LogLine]) -> list[Loss]:
+def summarize_losses(lines: Iterable[LogLine]) -> list[Loss]:
     """Return the losses by reason, the most frequent first.
 
     ::
 
-        for loss in sum_up_losses(read_lines(paths)):
+        for loss in summarize_losses(read_lines(paths)):
             print(loss.reason, loss.jobs, loss.worst_seconds())
     """
     day = _gather_day(lines)
@@ -158,7 +158,7 @@
     fields = line.fields
     if line.event == "job_submitted":
         job.outcome = ""
-        job.is_back = True
+        job.is_resubmitted = True
     elif line.event == "job_begun":
         job.objective_ms = fields["objective_ms"]
         job.chain_ms = fields["chain_ms"]
@@ -174,7 +174,7 @@
         job.outcome = ENDED
         job.objective_ms = fields["objective_ms"]
         # The entry that ended it knows nothing of the time before its caller came back.
-        job.total_ms = line.t_ms - job.submitted_ms if job.is_back else fields["total_ms"]
+        job.total_ms = line.t_ms - job.submitted_ms if job.is_resubmitted else fields["total_ms"]
     elif line.event == "job_refused":
         job.outcome = f"refused at once: {fields['reason']}"
     elif line.event == "job_given_up":
--- a/src/gapdrum/messages.py
+++ b/src/gapdrum/messages.py
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen
-class TaskRow:
+class AttemptStatus:
     """What an agent knows of one attempt: a state of the chart ``held_task``."""
 
     index: int = count_field(MAX_TASKS_PER_JOB)
@@ -42,7 +42,7 @@
 
 
 @attrs.frozen
-class TaskKey:
+class AttemptKey:
     """Names one attempt of one task within its job."""
 
     index: int = count_field(MAX_TASKS_PER_JOB)
@@ -89,7 +89,7 @@
 
     job_id: str = text_field()
     epoch: int = count_field()
-    task: tuple[TaskRow, ...] = rows_field(TaskRow, 1)
+    task: tuple[AttemptStatus, ...] = rows_field(AttemptStatus, 1)
     free_slots: int = signed_field()
     received: int = count_field()
     agent_time_ms: int = count_field()
@@ -106,7 +106,7 @@
 
     job_id: str = text_field()
     epoch: int = count_field()
-    tasks: tuple[TaskRow, ...] = rows_field(TaskRow, 4 * MAX_TASKS_PER_JOB)
+    tasks: tuple[AttemptStatus, ...] = rows_field(AttemptStatus, 4 * MAX_TASKS_PER_JOB)
 
 
 @message(10)
@@ -138,7 +138,7 @@
 
     job_id: str = text_field()
     epoch: int = count_field()
-    tasks: tuple[TaskKey, ...] = rows_field(TaskKey, 4 * MAX_TASKS_PER_JOB)
+    tasks: tuple[AttemptKey, ...] = rows_field(AttemptKey, 4 * MAX_TASKS_PER_JOB)
 
 
 @message(13)
@@ -157,7 +157,7 @@
 
     job_id: str = text_field()
     epoch: int = count_field()
-    tasks: tuple[TaskKey, ...] = rows_field(TaskKey, 4 * MAX_TASKS_PER_JOB)
+    tasks: tuple[AttemptKey, ...] = rows_field(AttemptKey, 4 * MAX_TASKS_PER_JOB)
 
 
 @message(15)
--- a/src/gapdrum/operator_feed.py
+++ b/src/gapdrum/operator_feed.py
@@ -22,12 +22,12 @@
 
 
 @attrs.frozen
-class TableNews:
+class TableUpdate:
     """Rows of the table as of a version: all that there are, or those that have changed."""
 
     rows: tuple[Row, ...]
     version: int
-    is_whole: bool
+    is_snapshot: bool
 
 
 class OperatorFeed:
@@ -47,14 +47,14 @@
         self._after: int | None = None
         self._answered_ms: int | None = None
         self.is_failing = False
-        self._subscribers: list[Callable[[TableNews], None]] = []
+        self._subscribers: list[Callable[[TableUpdate], None]] = []
 
-    def subscribe(self, take: Callable[[TableNews], None]) -> None:
+    def subscribe(self, take: Callable[[TableUpdate], None]) -> None:
         """Call back with the whole table at first, and with each change after that."""
         self._subscribers.append(take)
 
     @property
-    def is_followed(self) -> bool:
+    def is_current(self) -> bool:
         """Tell whether changes reach this process just now."""
         answered_ms = self._answered_ms
         return answered_ms is not None and self._timers.now_ms() - answered_ms < FOLLOWED_MS
@@ -82,9 +82,9 @@
             self._tell(await self._read_all())
             return
         changes = await self._rows.watch(OPERATOR_TABLE, self._after, FEED_WAIT_MS)
-        self._tell(TableNews(changes.rows, max(self._after, changes.version), is_whole=False))
+        self._tell(TableUpdate(changes.rows, max(self._after, changes.version), is_snapshot=False))
 
-    async def _read_all(self) -> TableNews:
+    async def _read_all(self) -> TableUpdate:
         """Read the whole table, page by page; what changes meanwhile comes by the feed."""
         page = await self._rows.read(OPERATOR_TABLE, "", READ_TIMEOUT_MS)
         rows = list(page.rows)
@@ -93,9 +93,9 @@
             first = rows[-1].at.key + "\0"
             page = await self._rows.read(OPERATOR_TABLE, "", READ_TIMEOUT_MS, first=first)
             rows.extend(page.rows)
-        return TableNews(tuple(rows), version, is_whole=True)
+        return TableUpdate(tuple(rows), version, is_snapshot=True)
 
-    def _tell(self, news: TableNews) -> None:
+    def _tell(self, news: TableUpdate) -> None:
         self._after = news.version
         self._answered_ms = self._timers.now_ms()
         for take in self._subscribers:
--- a/src/gapdrum/peers.py
+++ b/src/gapdrum/peers.py
@@ -54,7 +54,7 @@
                     future.set_exception(StreamClosedError("the peer is gone"))
 
 
-class Peers:
+class PeerClient:
     """Opens streams to other entries when they are needed and keeps them."""
 
     def __init__(self, entry_id: str, token: str, metrics: Metrics, tls=None) -> None:
@@ -65,7 +65,7 @@
         self._tasks = TaskSet()
         self._ids = itertools.count(1)
 
-    async def ask(self, record: EntryRecord, kind: str, job_id: str, wait_ms: int) -> str:
+    async def send_request(self, record: EntryRecord, kind: str, job_id: str, wait_ms: int) -> str:
         """Return an entry's reply; raises StreamClosedError if it can't be reached."""
         link = await self._link_to(record)
         request = PeerRequest(next(self._ids), kind, job_id, wait_ms)
--- a/src/gapdrum/measures.py
+++ b/src/gapdrum/process_metrics.py
@@ -40,7 +40,7 @@
         return rows
 
 
-class Measures:
+class ProcessMetrics:
     """All figures of one process.
 
     Gauges are functions that are called at a scrape::
@@ -57,7 +57,7 @@
         self.counters: dict[str, Callable[[], float]] = {}
         self.messages: dict[str, Counter[str]] = {}  # of streams, by direction and kind
 
-    def note_latency(self, name: str, duration_ms: int) -> None:
+    def observe_latency(self, name: str, duration_ms: int) -> None:
         """Count one duration under a name such as ``job_ended_total``."""
         latency = self.latencies.get(name)
         if latency is None:
--- a/src/gapdrum/recovery.py
+++ b/src/gapdrum/recovery.py
@@ -6,7 +6,7 @@
 
 from gapdrum import ledger, reasons
 from gapdrum.jobs import LOST, AgentKey, Attempt, Job, Task
-from gapdrum.messages import JobHoldings, TaskRow
+from gapdrum.messages import AttemptStatus, JobHoldings
 
 
 class Recovery:
@@ -59,7 +59,7 @@
         return to_place
 
 
-def _add_row(job: Job, task: Task, agent: AgentKey, row: TaskRow) -> None:
+def _add_row(job: Job, task: Task, agent: AgentKey, row: AttemptStatus) -> None:
     attempt = Attempt(row.attempt, agent, job.created_at_ms)
     task.attempts.append(attempt)
     if row.state == ledger.STARTED:
--- a/src/gapdrum/recovery_coordinator.py
+++ b/src/gapdrum/recovery_coordinator.py
@@ -21,7 +21,7 @@
 from gapdrum.recovery import Recovery
 from gapdrum.scheduler import Sender
 from gapdrum.timers import MS_PER_S
-from gapdrum.tracking import Tracked
+from gapdrum.tracked_jobs import TrackedJob
 
 RECOVERY_TIMEOUT_MS = 1_500
 FOLLOW_CHECK_MS = 250
@@ -58,7 +58,7 @@
                 done.set()
 
     async def resolve_claim(
-        self, held: VersionedClaim, submission: Submission | None, tracked: Tracked
+        self, held: VersionedClaim, submission: Submission | None, tracked: TrackedJob
     ) -> Answer | None:
         """Resolve a claim of another owner, or one of this entry whose job it no longer knows."""
         claim = held.claim
@@ -110,7 +110,7 @@
         return structure(json.loads(document), Answer) if document else None
 
     async def _take_over(
-        self, held: VersionedClaim, submission: Submission | None, tracked: Tracked
+        self, held: VersionedClaim, submission: Submission | None, tracked: TrackedJob
     ) -> Answer | None:
         """Recover a job whose owner is lost, from its journalled answer or its agents' records."""
         claim = held.claim
@@ -134,7 +134,7 @@
         return None
 
     async def _recover(
-        self, tracked: Tracked, held: VersionedClaim, job: Job, may_place: bool
+        self, tracked: TrackedJob, held: VersionedClaim, job: Job, may_place: bool
     ) -> None:
         """Fence the roster, collect its holdings, and continue the job."""
         recovery = Recovery(job, held.claim.roster, may_place)
--- a/src/gapdrum/runtimes.py
+++ b/src/gapdrum/runtimes.py
@@ -35,7 +35,7 @@
         weight = 0.05 if self.is_learned else 0.3
         self.mean_ms += weight * (run_ms - self.mean_ms)
 
-    def longest_of_ms(self, tasks: int) -> int:
+    def expected_longest_ms(self, tasks: int) -> int:
         """Return the expected longest run of so many tasks; the estimate is renewed at times."""
         total = self.histogram.get_total_count()
         if total >= self._renew_at:
@@ -60,7 +60,7 @@
     def __init__(self) -> None:
         self._known: dict[tuple[str, str], RunTime] = {}
 
-    def of(self, upstream: str, kind: str) -> RunTime:
+    def for_kind(self, upstream: str, kind: str) -> RunTime:
         """Return what is known of a kind; a fresh record if nothing is."""
         key = (upstream, kind)
         known = self._known.get(key)
--- a/src/gapdrum/scheduler.py
+++ b/src/gapdrum/scheduler.py
@@ -14,12 +14,12 @@
 from gapdrum.jobs import PLACED, WAITING, AgentKey, Job, ReportEffect, Task
 from gapdrum.members import Members, RunnerView
 from gapdrum.messages import (
+    AttemptKey,
+    AttemptStatus,
     EntryHeartbeat,
     Inquire,
     PlacedTask,
     PlaceTasks,
-    TaskKey,
-    TaskRow,
     Withdraw,
 )
 from gapdrum.metrics import Metrics
@@ -163,7 +163,7 @@
             self._send_batch(batch)
         self._send_waiting(upstream, runners)
 
-    def report(self, view: RunnerView, job_id: str, epoch: int, row: TaskRow) -> None:
+    def report(self, view: RunnerView, job_id: str, epoch: int, row: AttemptStatus) -> None:
         """Apply an agent's row about one task of a job."""
         open_job = self.open_jobs.get(job_id)
         if open_job is not None and epoch > open_job.job.epoch:
@@ -205,7 +205,7 @@
             self.place_all_waiting()
 
     def _inquire(self, job: Job, agent: AgentKey) -> None:
-        keys = [TaskKey(index, number) for index, number in job.outstanding_at(agent)]
+        keys = [AttemptKey(index, number) for index, number in job.outstanding_at(agent)]
         if keys:
             self._try_send(agent, Inquire(job.job_id, job.epoch, keys))
 
@@ -216,8 +216,8 @@
 
     def _enqueue(self, job: Job, index: int, front: bool = False) -> None:
         submission = job.submission
-        run_time = self.run_times.of(submission.upstream, submission.kind)
-        expected_ms = run_time.longest_of_ms(len(job.tasks))
+        run_time = self.run_times.for_kind(submission.upstream, submission.kind)
+        expected_ms = run_time.expected_longest_ms(len(job.tasks))
         self._queue(submission.upstream).push(job, index, expected_ms, front)
 
     def _queue(self, upstream: str) -> FairQueue:
@@ -310,7 +310,7 @@
         except StreamClosedError:
             self.metrics.wasted[type(message).__name__] += 1
 
-    def _apply_row(self, open_job: OpenJob, view: RunnerView, row: TaskRow) -> bool:
+    def _apply_row(self, open_job: OpenJob, view: RunnerView, row: AttemptStatus) -> bool:
         job = open_job.job
         effect = job.report(view.agent, row)
         if effect is ReportEffect.NOTHING:
@@ -323,7 +323,7 @@
             self.metrics.wasted["PlaceTasks"] += 1
             self.metrics.wasted["TaskReport"] += 1
         if row.state == ledger.DONE:
-            self.run_times.of(view.upstream, job.submission.kind).add(row.run_ms)
+            self.run_times.for_kind(view.upstream, job.submission.kind).add(row.run_ms)
         task = job.tasks[row.index]
         if not task.is_final:
             started = row.state != ledger.NEVER_STARTED
--- a/src/gapdrum/settings.py
+++ b/src/gapdrum/settings.py
@@ -160,7 +160,7 @@
         """Return the version in force."""
         return self.tree.version
 
-    def offer(self, tree: SettingsTree) -> bool:
+    def apply_if_newer(self, tree: SettingsTree) -> bool:
         """Take a tree if it is newer; return whether it was taken."""
         if tree.version <= self.tree.version:
             return False
--- a/src/gapdrum/configurations.py
+++ b/src/gapdrum/settings_store.py
@@ -26,7 +26,7 @@
 
 
 @attrs.frozen
-class WantedValue:
+class RequestedValue:
     """One value to set at a node; None removes it, so that the node inherits."""
 
     path: str = text_field()
@@ -49,7 +49,7 @@
     """Changes an operator asks for, on top of the version that the operator saw."""
 
     base_version: int = count_field()
-    changes: list[WantedValue]
+    changes: list[RequestedValue]
     reason: str = text_field(1_000, default="")
     dry_run: bool = False
 
@@ -74,7 +74,7 @@
     nodes: dict[str, dict[str, int | str]]
 
 
-class Configurations:
+class SettingsStore:
     """Brings accepted settings into force in this process, and makes changes."""
 
     def __init__(self, committer: Committer, settings: SettingsHolder, timers: Timers) -> None:
@@ -101,7 +101,7 @@
             tree = SettingsTree(version, check_tree(stored.nodes))
         except InvalidInputError:
             return False
-        return self._settings.offer(tree)
+        return self._settings.apply_if_newer(tree)
 
     async def change(self, request: ChangeRequest, operator: str) -> AuditRecord:
         """Apply changes on top of their base version; returns once they are accepted.
@@ -127,7 +127,7 @@
         )
         if not request.dry_run:
             await self._write(record, nodes)
-            self._settings.offer(SettingsTree(record.version, nodes))
+            self._settings.apply_if_newer(SettingsTree(record.version, nodes))
         return record
 
     async def history(self) -> list[AuditRecord]:
@@ -173,7 +173,7 @@
 
 
 def apply_changes(
-    tree: SettingsTree, changes: list[WantedValue]
+    tree: SettingsTree, changes: list[RequestedValue]
 ) -> tuple[list[ValueChange], dict[str, dict[str, int | str]]]:
     """Return the changes with their values before, and the nodes after them."""
     nodes = {path: dict(values) for path, values in tree.nodes.items()}
--- a/src/gapdrum/streams.py
+++ b/src/gapdrum/streams.py
@@ -4,7 +4,7 @@
 from collections import Counter
 from collections.abc import AsyncIterator
 
-from gapdrum.codec import Decoder, encode, kind_of
+from gapdrum.codec import Decoder, encode, message_name
 from gapdrum.exceptions import FrameError, StreamClosedError
 
 READ_BYTES = 64 * 1024
@@ -47,7 +47,7 @@
         if not self._unwritten:
             asyncio.get_running_loop().call_soon(self._write)
         self._unwritten.append(encode(message))
-        self._sent[kind_of(message)] += 1
+        self._sent[message_name(message)] += 1
 
     def _write(self) -> None:
         """Hand what was sent in this turn to the connection."""
@@ -64,7 +64,7 @@
             if not chunk:
                 return
             for message in decoder.feed(chunk):
-                self._received[kind_of(message)] += 1
+                self._received[message_name(message)] += 1
                 yield message
 
     def close(self) -> None:
--- a/src/gapdrum/timers.py
+++ b/src/gapdrum/timers.py
@@ -42,7 +42,7 @@
         return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000_000
 
     @staticmethod
-    def awake_ms() -> int:
+    def monotonic_ms() -> int:
         """Return a steady clock that stands still while the instance is suspended.
 
         It never runs ahead of a clock beside it that may have stood still, too: the runner's.
@@ -92,13 +92,13 @@
     logger.opt(exception=error).error("a periodic callback failed")
 
 
-class Delayed:
+class CoalescedCallback:
     """Calls back once, at the next multiple of an interval after it was asked for.
 
     Unlike a subscription it costs nothing while there is nothing to do, and those of several
     parts come due together::
 
-        flush = Delayed(timers, 50, log.flush)
+        flush = CoalescedCallback(timers, 50, log.flush)
         flush.ask()
         flush.ask()     # still one call
     """
@@ -109,7 +109,7 @@
         self._callback = callback
         self._asked = False
 
-    def ask(self) -> None:
+    def schedule(self) -> None:
         """Call back at the end of the interval, unless that is already planned."""
         if not self._asked:
             self._asked = True
--- a/src/gapdrum/tracking.py
+++ b/src/gapdrum/tracked_jobs.py
@@ -9,7 +9,7 @@
 
 
 @attrs.define(eq=False)
-class Tracked:
+class TrackedJob:
     """A job this entry knows: the future of its answer, and what may be asked meanwhile."""
 
     job_id: str
--- a/src/gapdrum/transport/metrics_listener.py
+++ b/src/gapdrum/transport/metrics_listener.py
@@ -2,7 +2,7 @@
 
 import os
 
-from gapdrum.measures import CONTENT_TYPE, METRICS_PATH, Measures
+from gapdrum.process_metrics import CONTENT_TYPE, METRICS_PATH, ProcessMetrics
 from gapdrum.timers import Timers
 from gapdrum.transport.http_messages import HttpRequest, HttpResponse
 from gapdrum.transport.http_server import HttpLimits, HttpListener
@@ -11,7 +11,7 @@
 PORT_VARIABLE = "GAPDRUM_METRICS_PORT"
 
 
-async def open_metrics(host: str, measures: Measures, timers: Timers) -> None:
+async def open_metrics(host: str, measures: ProcessMetrics, timers: Timers) -> None:
     """Listen on the metrics port, if one is set; raises OSError if it is in use."""
     port = os.environ.get(PORT_VARIABLE)
     if not port:
--- a/src/gapdrum/zone_watch.py
+++ b/src/gapdrum/zone_watch.py
@@ -5,7 +5,7 @@
 from gapdrum.core.orders import ZoneDrainsTold
 from gapdrum.core.zone_drains import ZoneDrains
 from gapdrum.event_log import EventLog
-from gapdrum.operator_feed import TableNews
+from gapdrum.operator_feed import TableUpdate
 from gapdrum.platform.operator_table import zone_drained_by
 
 
@@ -21,9 +21,9 @@
         self._log = log
         self._rows: set[str] = set()
 
-    def apply_table(self, news: TableNews) -> None:
+    def apply_table(self, news: TableUpdate) -> None:
         """Take rows of the operators' table."""
-        if news.is_whole:
+        if news.is_snapshot:
             self._rows.clear()
         for row in news.rows:
             zone = zone_drained_by(row.at)
@@ -35,11 +35,11 @@
                 self._rows.add(zone)
         self._take(news.version, self._rows, "table")
 
-    def take_told(self, told: ZoneDrainsTold, source: str) -> None:
+    def apply_from_peer(self, told: ZoneDrainsTold, source: str) -> None:
         """Take what another process has told."""
         self._take(told.version, told.zones, source)
 
-    def drains_told(self) -> ZoneDrainsTold:
+    def drains_message(self) -> ZoneDrainsTold:
         """Return what is known here, to tell another process."""
         return ZoneDrainsTold(self.drains.version, tuple(sorted(self.drains.zones)))
 
--- a/src/gapdrum_standins/platform.py
+++ b/src/gapdrum_standins/platform.py
@@ -20,7 +20,7 @@
 WRITE_DELAY_MS = 4
 READ_DELAY_MS = 1
 THREADS = 32
-KEPT_CONNECTIONS = 1_000
+MAX_KEEP_ALIVE_CONNECTIONS = 1_000
 MS_PER_S = 1000
 
 
@@ -181,7 +181,7 @@
     set_up_logs(False)
     platform = Platform(write_delay_ms, read_delay_ms)
     server = wsgi.Server((host, port), platform, numthreads=THREADS)
-    server.keep_alive_conn_limit = KEPT_CONNECTIONS
+    server.keep_alive_conn_limit = MAX_KEEP_ALIVE_CONNECTIONS
     server.error_log = lambda *arguments, **options: None
     logger.info("platform stand-in serves on port {}", port)
     try:
--- a/src/gapdrum_standins/run_host.py
+++ b/src/gapdrum_standins/run_host.py
@@ -297,7 +297,7 @@
         self._ended.set()
         self._ended = asyncio.Event()
 
-    async def beat(self) -> None:
+    async def send_heartbeat(self) -> None:
         """Send one heartbeat to the agent beside this runner."""
         if self.state.use_fault("no_heartbeats"):
             return
@@ -324,8 +324,8 @@
     limits = HttpLimits(idle_timeout_ms=3_600_000)
     await HttpListener(runner.handle, limits, timers).open(host, port)
     timers.subscribe(SWEEP_INTERVAL_MS, runner.sweep)
-    timers.subscribe(HEARTBEAT_INTERVAL_MS, runner.beat)
-    await runner.beat()
+    timers.subscribe(HEARTBEAT_INTERVAL_MS, runner.send_heartbeat)
+    await runner.send_heartbeat()
     await asyncio.Event().wait()
 
 
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -18,11 +18,11 @@
 
 from gapdrum.messages import (
     AgentHello,
+    AttemptStatus,
     EntryHeartbeat,
     PlaceTasks,
     RunnerLoad,
     TaskReport,
-    TaskRow,
 )
 from gapdrum.streams import open_stream
 
@@ -67,7 +67,7 @@
         self.received += len(order.tasks)
         now_ms = time.monotonic_ns() // 1_000_000
         for task in order.tasks:
-            row = TaskRow(task.index, task.attempt, "done", "", "ok", 1)
+            row = AttemptStatus(task.index, task.attempt, "done", "", "ok", 1)
             report = TaskReport(order.job_id, order.epoch, (row,), SLOTS, self.received, now_ms)
             self.stream.send(report)
 
@@ -167,7 +167,7 @@
     from gapdrum.messages import PlacedTask
 
     job_id = "0" * 32
-    row = TaskRow(389, 1, "done", "", "x" * 50, 250)
+    row = AttemptStatus(389, 1, "done", "", "x" * 50, 250)
     many = [PlacedTask(i, 1, "x" * 50) for i in range(10)]
     sizes = {
         "place_1_task": len(encode(PlaceTasks(job_id, 1, 10**9, 1000, many[:1]))),
--- a/tools/load_replay.py
+++ b/tools/load_replay.py
@@ -10,7 +10,7 @@
 import random
 from collections import Counter
 
-from load_report import Outcome, Played, Report, summarize
+from load_report import Outcome, ReplayRecord, Report, summarize
 from loads import Drain, Fault, Load, LoadJob, make_jobs
 from platform_system import RESUBMIT_MS
 from virtual_runner import UPSTREAM, SilentLog, VirtualController, VirtualRunner, VirtualTimers
@@ -19,7 +19,7 @@
 from gapdrum.agent.entry_orders import EntryOrders
 from gapdrum.agent.grants import Grants
 from gapdrum.agent.notifier import EntryNotifier
-from gapdrum.codec import kind_of
+from gapdrum.codec import message_name
 from gapdrum.core import orders
 from gapdrum.core.configuration import Queue
 from gapdrum.core.dispatch import build_dispatch
@@ -38,9 +38,9 @@
 LATE_VALUE = 0.2
 # The delay of a message, as measured between processes.
 MESSAGE_MS = 1.3
-LOOK_INTERVAL_MS = 200
+POLL_INTERVAL_MS = 200
 TICK_INTERVAL_MS = 50
-ARRANGE_MS = 250
+LINK_UPDATE_DELAY_MS = 250
 MEMORY_MB = 64_000
 # The load begins when all have found each other.
 WARM_UP_MS = 3_000
@@ -105,11 +105,11 @@
     def open(self, entries: list["VirtualEntry"]) -> None:
         """Join the entries that it serves, and begin to look, beat and report."""
         self.controller.poll()
-        self.arrange(entries, frozenset())
-        self.timers.subscribe(LOOK_INTERVAL_MS, self.controller.poll)
+        self.update_links(entries, frozenset())
+        self.timers.subscribe(POLL_INTERVAL_MS, self.controller.poll)
         self.timers.subscribe(orders.BEAT_INTERVAL_MS, self._beat)
 
-    def arrange(self, entries: list["VirtualEntry"], drained: frozenset[str]) -> None:
+    def update_links(self, entries: list["VirtualEntry"], drained: frozenset[str]) -> None:
         """Join the entries that it serves, beside those that it has joined before."""
         is_open = self.zone not in drained
         candidates = [
@@ -197,7 +197,7 @@
 
     def job_ended(self, job: Job) -> None:
         """Answer the caller."""
-        self.fleet.callers.take_end(job.job_id, self.timers.now_ms())
+        self.fleet.callers.record_end(job.job_id, self.timers.now_ms())
         self.dispatch.stop_runs(job)
         self.dispatch.drop_job(job.job_id, "ended")
 
@@ -299,7 +299,7 @@
             outcome.kind = "left"
             entry.leave(job.job_id)
 
-    def take_end(self, job_id: str, now_ms: int) -> None:
+    def record_end(self, job_id: str, now_ms: int) -> None:
         """Note an answer."""
         outcome = self.outcomes[job_id]
         took_ms = now_ms - self._fleet.begin_ms - outcome.job.at_ms
@@ -341,7 +341,7 @@
     def count_message(self, message: object) -> None:
         """Count a message, unless it comes before or after the load."""
         if 0 <= self.timers.now_ms() - self.begin_ms < self.load.duration_ms:
-            self.messages[kind_of(message)] += 1
+            self.messages[message_name(message)] += 1
 
     def work_of(self, key: RunKey, rack: str) -> float:
         """Return how long a task really works on a rack."""
@@ -401,7 +401,7 @@
         for agent in self.agents.values():
             agent.controller.set_zone_closed(agent.zone in zones)
             self.timers.call_after(
-                ARRANGE_MS, lambda agent=agent: agent.arrange(self.entries, zones)
+                LINK_UPDATE_DELAY_MS, lambda agent=agent: agent.update_links(self.entries, zones)
             )
         for entry in self.entries:
             entry.dispatch.fleet.drained_zones = zones
@@ -418,7 +418,7 @@
     random.seed(load.seed)  # agents choose by chance which entry they offer room to
     fleet = VirtualFleet(load)
     fleet.run()
-    played = Played(
+    played = ReplayRecord(
         list(fleet.callers.outcomes.values()),
         load.duration_ms,
         fleet.busy_cores,
--- a/tools/load_report.py
+++ b/tools/load_report.py
@@ -23,7 +23,7 @@
 
 
 @attrs.frozen
-class Played:
+class ReplayRecord:
     """What was noted while a load was played; ``busy`` is the share of the room by time."""
 
     outcomes: list[Outcome]
@@ -62,7 +62,7 @@
         return parts + 0.1 * self.worst_windows - 0.5 * self.refused_with_room
 
 
-def summarize(played: Played) -> Report:
+def summarize(played: ReplayRecord) -> Report:
     """Return the figures of a load that was played."""
     outcomes = played.outcomes
     refused = [one for one in outcomes if one.kind in ("refused", "given_up")]
--- a/tools/soak.py
+++ b/tools/soak.py
@@ -26,7 +26,7 @@
 
 from local_system import Process, wait_for
 from platform_system import ZONES, PlatformSystem, RunnerPace
-from soak_callers import HOT_RACK, Callers, Submitted
+from soak_callers import HOT_RACK, Callers, SubmittedJob
 from soak_checks import check_runs, find_earlier_ends
 from soak_faults import CALM_S, Faults, Proxies
 
@@ -68,7 +68,7 @@
         self._faults = Faults(seed, chooser, self.system, proxies)
 
     @property
-    def jobs(self) -> list[Submitted]:
+    def jobs(self) -> list[SubmittedJob]:
         """All jobs that were submitted."""
         return self._callers.jobs
 
@@ -83,7 +83,7 @@
             try:
                 self._callers.start()
                 self._faults.inject(self.seconds, self._callers)
-                self._faults.calm()
+                self._faults.recover()
                 broken = self._check_drain()
             finally:
                 self._callers.stop()
@@ -115,7 +115,7 @@
         """Check that each stored job that was accepted ends in one state at all entries."""
         broken = []
         for job in self.jobs:
-            if not job.stored or 200 not in job.statuses:
+            if not job.durable or 200 not in job.statuses:
                 continue
             states = set()
             for entry in range(len(self.system.entries)):
@@ -144,7 +144,7 @@
     return [line for line in lines if isinstance(line, dict)]
 
 
-def find_size_fault(entries: int, agents: int) -> str:
+def find_size_error(entries: int, agents: int) -> str:
     """Return why a system of this size is too large for this machine, empty if it isn't."""
     processes = 1 + entries + 2 * agents  # the store; a runner with each agent
     if processes > PROCESSES_LIMIT:
@@ -166,7 +166,7 @@
     parser.add_argument("--agents", type=int, default=AGENTS)
     parser.add_argument("--callers", type=int, default=CALLERS)
     options = parser.parse_args()
-    size_fault = find_size_fault(options.entries, options.agents)
+    size_fault = find_size_error(options.entries, options.agents)
     if size_fault:
         parser.error(size_fault)
     # A soak that is ended from outside ends the processes it started, too.
--- a/tools/soak_callers.py
+++ b/tools/soak_callers.py
@@ -18,7 +18,7 @@
 CONNECT_PAUSE_S = 0.02  # between tries to reach any entry, while all are away
 CONNECT_LIMIT_S = 10.0
 LEAVING_SHARE = 0.35  # of the submissions whose caller leaves before its deadline
-DEAF_SHARE = 0.3  # of the callers that give up and leave their connection open
+LEFT_OPEN_SHARE = 0.3  # of the callers that give up and leave their connection open
 LEAVE_S = (0.2, 3.0)
 DEADLINE_MS = (600, 6_000)
 REFUSED_PAUSE_S = 0.1  # before a caller whose job was submitted before tries again
@@ -46,11 +46,11 @@
 
 
 @attrs.define
-class Submitted:
+class SubmittedJob:
     """A job as its caller knows it."""
 
     job_id: str
-    stored: bool
+    durable: bool
     statuses: list[int] = attrs.Factory(list)
     state: str = ""
     submissions: list[Submission] = attrs.Factory(list)
@@ -63,7 +63,7 @@
 
 
 @attrs.frozen
-class Patience:
+class WaitLimits:
     """When a caller stops waiting, in seconds of the steady clock, and what it does then."""
 
     deadline_ms: int
@@ -87,7 +87,7 @@
     """
 
     def __init__(self, system: PlatformSystem, seeds: list[float]) -> None:
-        self.jobs: list[Submitted] = []
+        self.jobs: list[SubmittedJob] = []
         self._system = system
         self._stop = threading.Event()
         self._lock = threading.Lock()
@@ -128,22 +128,22 @@
         # Drawn by itself, so that seeds submit the same jobs whatever callers do then.
         patience = random.Random(f"patience {seed}")
         while not self._stop.is_set():
-            job = Submitted(f"{chooser.getrandbits(64):016x}", chooser.random() < 0.5)
+            job = SubmittedJob(f"{chooser.getrandbits(64):016x}", chooser.random() < 0.5)
             self.jobs.append(job)
             self._submit(job, chooser, patience)
             time.sleep(chooser.uniform(0.0, 0.3))
-            if job.stored or job.refused:
+            if job.durable or job.refused:
                 # Else those whose jobs are answered at once pile up what nobody else finds room by.
                 time.sleep(patience.uniform(*QUICK_PAUSE_S))
 
-    def _submit(self, job: Submitted, chooser: random.Random, patience: random.Random) -> None:
+    def _submit(self, job: SubmittedJob, chooser: random.Random, patience: random.Random) -> None:
         """Hand a job in, and again while nothing is known of it, as callers do."""
         step = {"count": chooser.randint(1, 6), "cpu": TASK_CPU_MILLI}
         # The longest outlast the silence after which an entry takes a run for over.
         run_ms = chooser.choice((30, 150, 400, 1_500, 4_000))
-        job.queue = next(name for most_ms, name in QUEUES_BY_RUN_MS if run_ms <= most_ms)
+        job.queue = next(name for max_ms, name in QUEUES_BY_RUN_MS if run_ms <= max_ms)
         document = _describe(step, run_ms, random.Random(f"shape {job.job_id}"))
-        if not job.stored:
+        if not job.durable:
             document["best_effort"] = True
         body = json.dumps(document).encode()
         unsettled = refused = 0
@@ -153,7 +153,7 @@
                 return
             status, over_s = self._wait(job, body, *reached, patience)
             job.statuses.append(status)
-            if self._stop.is_set() and not job.stored:
+            if self._stop.is_set() and not job.durable:
                 return
             if status in UNSETTLED:
                 unsettled += 1
@@ -183,7 +183,7 @@
 
     def _wait(
         self,
-        job: Submitted,
+        job: SubmittedJob,
         body: bytes,
         connection: http.client.HTTPConnection,
         entry: int,
@@ -218,7 +218,7 @@
 
     @staticmethod
     def _ask(
-        job: Submitted, body: bytes, connection: http.client.HTTPConnection, patience: Patience
+        job: SubmittedJob, body: bytes, connection: http.client.HTTPConnection, patience: WaitLimits
     ) -> int:
         headers = {"Host": CALLER_HOST, "X-Deadline": str(patience.deadline_ms)}
         connection.request("POST", f"/{job.queue}/{job.job_id}", body, headers)
@@ -241,11 +241,11 @@
     return {"spec": json.dumps(spec), "steps": [step]}
 
 
-def _draw_patience(chooser: random.Random) -> Patience:
+def _draw_patience(chooser: random.Random) -> WaitLimits:
     now_s = time.monotonic()
     deadline_ms = chooser.randint(*DEADLINE_MS)
     leaves = chooser.random() < LEAVING_SHARE
     leaves_s = now_s + chooser.uniform(*LEAVE_S)
-    stays_open = chooser.random() < DEAF_SHARE
+    stays_open = chooser.random() < LEFT_OPEN_SHARE
     deadline_s = now_s + deadline_ms / 1_000
-    return Patience(deadline_ms, deadline_s, leaves_s if leaves else None, stays_open)
+    return WaitLimits(deadline_ms, deadline_s, leaves_s if leaves else None, stays_open)
--- a/tools/soak_checks.py
+++ b/tools/soak_checks.py
@@ -7,7 +7,7 @@
 
 import attrs
 from platform_system import RUNNER_CPU_MILLI
-from soak_callers import TASK_CPU_MILLI, Submitted
+from soak_callers import TASK_CPU_MILLI, SubmittedJob
 
 ENDS = ("done", "failed", "stopped", "lapsed")
 NS_PER_MS = 1_000_000
@@ -59,20 +59,20 @@
 
 
 def check_runs(
-    histories: list[list[dict]], jobs: list[Submitted], killed_ns: dict[int, int]
+    histories: list[list[dict]], jobs: list[SubmittedJob], killed_ns: dict[int, int]
 ) -> list[str]:
     """Return the promises that the histories of all lives of runners show to be broken."""
     by_task: dict[str, list[SeenRun]] = defaultdict(list)
     broken = []
     for history in histories:
         runs = list_runs(history, killed_ns)
-        broken += over_room(runs)
+        broken += find_over_capacity(runs)
         for run in runs:
             by_task[run.task].append(run)
     by_id = {job.job_id: job for job in jobs}
     for task, runs in by_task.items():
         broken += find_overlaps(task, runs, by_id.get(_job_id(task)))
-    stored = {job.job_id for job in jobs if job.stored}
+    durable = {job.job_id for job in jobs if job.durable}
     counted = {
         (row["task"], row["attempt"])
         for history in histories
@@ -80,7 +80,7 @@
         if row["how"] == "forgotten"
     }
     for task, runs in by_task.items():
-        if _job_id(task) in stored:
+        if _job_id(task) in durable:
             broken += find_starts_after_end(task, runs, counted)
     started = {_job_id(task) for task in by_task}
     broken += [
@@ -93,11 +93,11 @@
     return task.partition(".")[0]
 
 
-def find_overlaps(task: str, runs: list[SeenRun], job: Submitted | None) -> list[str]:
+def find_overlaps(task: str, runs: list[SeenRun], job: SubmittedJob | None) -> list[str]:
     """Return all pairs of runs of a task that were at work at once, however shortly."""
     return [
         f"overlap of {one.overlap_ms(other):.3f} ms: {task} {one.describe()}, beside "
-        f"{other.describe()}; {'stored' if job and job.stored else 'waiting'}, "
+        f"{other.describe()}; {'durable' if job and job.durable else 'waiting'}, "
         f"{job and job.submissions}"
         for one, other in combinations(runs, 2)
         if one.overlap_ms(other) >= 0
@@ -144,7 +144,7 @@
     return earlier
 
 
-def over_room(runs: list[SeenRun]) -> list[str]:
+def find_over_capacity(runs: list[SeenRun]) -> list[str]:
     """Return the starts that brought one life of a runner over its room."""
     over = []
     for run in runs:
--- a/tools/soak_faults.py
+++ b/tools/soak_faults.py
@@ -333,9 +333,9 @@
         try:
             work()
         except urllib3.exceptions.HTTPError as error:
-            self._note(f"not undone: {error!r}")  # ``calm`` mends it
+            self._note(f"not undone: {error!r}")  # ``recover`` mends it
 
-    def calm(self) -> None:
+    def recover(self) -> None:
         """End all faults, and wait until each process serves again."""
         time.sleep(CALM_S * 2)
         for timer in self._timers:
--- a/tools/virtual_runner.py
+++ b/tools/virtual_runner.py
@@ -40,7 +40,7 @@
         return int(self.time_ms)
 
     wall_ms = now_ms
-    awake_ms = now_ms
+    monotonic_ms = now_ms
 
     def left_ms(self, interval_ms: int) -> int:
         """Return how long it is until the next multiple of an interval."""
@@ -156,7 +156,7 @@
         return RunnerSnapshot(self.timers.now_ms(), tuple(rows), tuple(self.ended))
 
 
-class VirtualStarts(RunLauncher):
+class VirtualLauncher(RunLauncher):
     """The real judgement of orders, with a virtual runner behind it."""
 
     def __init__(self, context: RunnerContext, runner: VirtualRunner, work_of: Callable) -> None:
@@ -205,7 +205,7 @@
         self._context = RunnerContext(
             ledger, None, grants, RUN_LEASE_MS, self._timers, log, self._report, shares=shares
         )
-        self.starts = VirtualStarts(self._context, runner, work_of)
+        self.starts = VirtualLauncher(self._context, runner, work_of)
         runner.on_change = lambda: self._timers.call_after(CALL_MS, self.poll)
 
     @property
