--- a/src/gapdrum/recovery_coordinator.py
+++ b/src/gapdrum/recovery_coordinator.py
@@ -89,7 +89,7 @@
         self._core.note(claim.job_id, reasons.FOLLOWED, subject=record.entry_id)
         left_ms = max(0, claim.deadline_wall_ms - self._core.timers.wall_ms()) + CLOCK_MARGIN_MS
         asking = asyncio.ensure_future(
-            self._core.peers.ask(record, peers.FOLLOW, claim.job_id, left_ms)
+            self._core.peers.send_request(record, peers.FOLLOW, claim.job_id, left_ms)
         )
         while not asking.done():
             await asyncio.wait((asking,), timeout=FOLLOW_CHECK_MS / MS_PER_S)
