--- a/features/platform_core.feature
+++ b/features/platform_core.feature
@@ -96,14 +96,14 @@
     When the agent tells that it holds nothing
     Then 2 tasks are ordered
 
-  Scenario: an order that the agent does not hold is placed anew with a higher attempt
+  Scenario: an order that the agent does not hold is placed again with a higher attempt
     Given an owner that sees one runner
     And the agent tells that it holds nothing
     And a job of 1 tasks
     When the agent joins again and tells that it holds nothing
     Then the task is ordered again with attempt 2
 
-  Scenario: a silent agent's tasks are placed anew only when nothing can run there
+  Scenario: a silent agent's tasks are placed again only when nothing can run there
     Given an owner that sees one runner
     And the agent tells that it holds nothing
     And a job of 1 tasks
--- a/src/gapdrum/core/dispatch.py
+++ b/src/gapdrum/core/dispatch.py
@@ -357,7 +357,7 @@
     def _is_current(self, view: AgentView, place: Place, row: orders.HeldRun) -> bool:
         """Tell whether a row is of the job's current submission, as far as is known.
 
-        A run that has not ended always counts: a task must not run anew beside an earlier run.
+        A run that has not ended always counts: a task must not start again beside an earlier run.
         """
         name = TaskName.parse(row.task)
         job = self.jobs.get(name.job_id)
--- a/src/gapdrum/core/placement_rules.py
+++ b/src/gapdrum/core/placement_rules.py
@@ -78,7 +78,7 @@
     least_cpu_milli: int = 0,
     far_factor: float = 1.0,
 ) -> RunnerPool:
-    """Return the pool of an upstream's usable runners, with room from a least size on."""
+    """Return an upstream's pool of usable runners, and which have room for a least size."""
     states = (orders.READY, orders.SUSPECT)
     views = tuple(
         view
--- a/src/gapdrum/core/placer.py
+++ b/src/gapdrum/core/placer.py
@@ -110,7 +110,7 @@
     def is_unschedulable(self, upstream: str, steps: tuple[Step, ...]) -> bool:
         """Tell whether only known runners in drained zones can hold one of a job's steps.
 
-        Such a job would wait for half of its slack in vain before it is refused.
+        Such a job would wait for half of its slack and then be refused.
         """
         if not self.fleet.drained_zones:
             return False
--- a/src/gapdrum/core/stragglers.py
+++ b/src/gapdrum/core/stragglers.py
@@ -48,7 +48,7 @@
     def source_factor(self, others_permille: int) -> float:
         """Return how many times as long as usual work takes at the run's runner.
 
-        The other runs there tell that best, else the runner's reported slowness.
+        The pace of the other runs there is the best measure, else the reported slowness is used.
         """
         reported = self.source.slowness_permille if self.source is not None else 0
         return self._factor(others_permille or reported, self.source)
