--- a/src/gapdrum/core/run_pace.py
+++ b/src/gapdrum/core/run_pace.py
@@ -54,7 +54,7 @@
 
 
 def usual_permille(paces: Iterable[Pace]) -> int:
-    """Return the median ratio of run time to estimate; 0 if too few are known.
+    """Return the median ratio of run time to estimate over runs; 0 if too few are known.
 
     ``paces`` should be of all runs that began within some time. The runs at work at one moment
     would not do, as long runs are over-represented among them.
--- a/src/gapdrum/core/runner_health.py
+++ b/src/gapdrum/core/runner_health.py
@@ -15,7 +15,8 @@
 class RunnerHealth:
     """The failures of one runner, as its agent sees them.
 
-    After its ejection a runner is half-open: it gets one run at a time until one succeeds.
+    While ``ejected_until_ms`` is set, the runner is ejected, and entries are told that it is
+    suspect. After its ejection it is half-open: it gets one run at a time until one succeeds.
     """
 
     consecutive_failures: int = 0
@@ -37,7 +38,7 @@
             self.consecutive_failures = 0
 
     def is_ejected(self, now_ms: int) -> bool:
-        """Return whether the runner gets no work now; after the ejection it is half-open."""
+        """Return whether the runner is ejected; end an ejection that is over by half-opening it."""
         if not self.ejected_until_ms:
             return False
         if now_ms < self.ejected_until_ms:
--- a/src/gapdrum/core/runner_ledger.py
+++ b/src/gapdrum/core/runner_ledger.py
@@ -29,7 +29,7 @@
 UNKNOWN_ESTIMATE_STALL_MS = 2_000
 # A run is slow if at its pace it takes this many times its estimate. Estimates are 40% off, and
 # the slowest healthy runners take a quarter longer.
-SLOW_FACTOR = 3
+SLOW_RUN_FACTOR = 3
 SLOW_SLACK_MS = 100
 # A straggler is reported again after this time, as its owner may have had no other room for it.
 STRAGGLER_REPEAT_MS = 300
@@ -44,9 +44,11 @@
     """A run at the runner; ``room`` is None after the agent's restart until its owner adopts it.
 
     The start can't take effect once the runner's clock has passed ``start_expires_ms``;
-    ``calling`` is set while the start call is pending. A run is not ``claimed`` if the agent
-    found it at the runner, or if its owner has rejoined and has not claimed it yet;
-    ``last_echo_ms`` is the owner's last echo before that, None if not known.
+    ``calling`` is set while the start call is pending. Later echoes of the owner don't prolong a
+    run that is not ``claimed``: one that the agent found at the runner, one whose owner has joined
+    again without claiming it, and a stopped non-durable run. For the last two, ``last_echo_ms``
+    is the last echo that counts; for the first it is None. ``since_ms`` is when the run entered
+    the ledger.
     """
 
     key: RunKey
@@ -99,8 +101,10 @@
 class ListedEnd:
     """An end that the runner lists until the agent acknowledges it.
 
-    Only the ends of durable jobs must be stored before that: a waiting caller submits its job
-    again, and a stopped run is started anew in any case.
+    Of the ends, only those of durable jobs' runs that are done or have failed must be stored
+    before that: a waiting caller submits its job again, and a stopped run is started anew in any
+    case. ``stored`` is set once the end may be acknowledged: it is stored, need not be, or must
+    not count and has been voided by a lapse of the lease. ``noted_ms`` is when the agent read it.
     """
 
     key: RunKey
@@ -139,7 +143,7 @@
 
 @attrs.frozen
 class HeldOwner:
-    """An owner of held runs or ends, and whether these are of durable jobs."""
+    """An owner of runs or ends that the agent holds, and whether these are of durable jobs."""
 
     owner: str
     durable: bool
@@ -165,14 +169,14 @@
     last_end: int = 0
     runs: dict[RunKey, Run] = attrs.Factory(dict)
     ends: dict[int, ListedEnd] = attrs.Factory(dict)
-    # Ends that nobody stores, the oldest first, to be sent again if the owner's stream fails before
-    # it has received them.
+    # Ends that need not be stored, the oldest first, to be sent again if the owner's stream fails
+    # before it has received them.
     recent_ends: dict[RunKey, ListedEnd] = attrs.Factory(dict)
     used: Resources = ZERO_RESOURCES
     used_cpu_milli: Counter[str] = attrs.Factory(Counter)  # by queue
     health: RunnerHealth = attrs.Factory(RunnerHealth)
     speed: RunnerSpeed = attrs.Factory(RunnerSpeed)
-    unknown_runs: int = 0
+    unknown_runs: int = 0  # runs that the agent found at work, whose room is not known yet
     # The runs that began last: twice as many as are compared, as a run is compared with runs of
     # other jobs only.
     recent_runs: deque[Run] = attrs.Factory(lambda: deque(maxlen=2 * RECENT_RUNS))
@@ -192,8 +196,8 @@
     def free(self) -> Resources:
         """Return the room that no run holds.
 
-        No room is free while a run's room is unknown, while the lease must lapse, and while the
-        zone is drained.
+        No room is free while a run's room is unknown, while the zone is drained, and while the
+        runner's lease must lapse, as the lapse would end a new run too.
         """
         if self.awaits_lapse() or self.zone_closed:
             return ZERO_RESOURCES
@@ -254,7 +258,7 @@
         room: Resources,
         submission: int = 0,
     ) -> None:
-        """Continue a run for its owner, which states the room that the run takes."""
+        """Let a run continue for the entry that claims it, and take the room that it states."""
         run = self.runs.get(key)
         if run is None:
             return
@@ -405,7 +409,11 @@
         return unanswered and clock_ms > run.start_expires_ms
 
     def mark_ends_stored(self, numbers: tuple[int, ...], superseded: tuple[int, ...]) -> None:
-        """Mark ends as stored, and superseded ends as to be stored when the lease has lapsed."""
+        """Mark ends that may be acknowledged, and superseded ones, which may be after a lapse.
+
+        A listed end counts once it is acknowledged, unless the runner's lease has lapsed after
+        it. A superseded end must not count, so the agent renews no lease until it has lapsed.
+        """
         for number in numbers:
             if number in self.ends:
                 self.ends[number].stored = True
@@ -414,11 +422,11 @@
                 self.ends[number].superseded = True
 
     def awaits_lapse(self) -> bool:
-        """Return whether an end is to be acknowledged only once the lease has lapsed."""
+        """Return whether the runner's lease must lapse before a superseded end is acknowledged."""
         return any(end.superseded and not end.stored for end in self.ends.values())
 
     def record_lapse(self) -> None:
-        """Record that the lease has lapsed: superseded ends may be acknowledged."""
+        """Record that the runner's lease has lapsed: superseded ends may be acknowledged."""
         for end in self.ends.values():
             if end.superseded:
                 end.stored = True
@@ -433,7 +441,7 @@
         return self.acknowledged_end
 
     def held_runs(self, job_ids: frozenset[str] | None = None) -> tuple[orders.HeldRun, ...]:
-        """Return all runs and unstored ends, or only those of some jobs."""
+        """Return all runs and the ends that may not be acknowledged yet, or those of some jobs."""
         rows = [
             orders.HeldRun(
                 run.key.task.text,
@@ -451,7 +459,7 @@
         return tuple(rows)
 
     def held_owners(self, now_ms: int) -> frozenset[HeldOwner]:
-        """Return the owners of all runs, and of all ends that are not stored yet.
+        """Return the owners of all runs, and of all ends that may not be acknowledged yet.
 
         Recent ends without a known owner don't count: after a restart most are of jobs whose
         callers have disconnected, and any entry that receives them finds that out.
@@ -464,7 +472,7 @@
         return frozenset(owners)
 
     def event_for_adopter(self, key: RunKey, submission: int) -> orders.RunEvent | None:
-        """Return the event for a run's new owner if the run ended before it was adopted."""
+        """Return the event for a run's claimant if the run ended before it could be adopted."""
         if key in self.runs:
             return None
         for number, end in self.ends.items():
@@ -488,7 +496,7 @@
 
 
 def _is_slow(pace: Pace) -> bool:
-    limit_ms = SLOW_FACTOR * pace.estimate_ms + SLOW_SLACK_MS
+    limit_ms = SLOW_RUN_FACTOR * pace.estimate_ms + SLOW_SLACK_MS
     return bool(pace.estimate_ms) and pace.age_ms > MIN_AGE_MS and pace.total_ms > limit_ms
 
 
--- a/src/gapdrum/core/runner_models.py
+++ b/src/gapdrum/core/runner_models.py
@@ -8,7 +8,7 @@
 
 @attrs.frozen
 class Heartbeat:
-    """A runner's report about itself."""
+    """A runner's report about itself to its agent, not the heartbeat from agent to entry."""
 
     runner_id: str
     upstream: str
--- a/src/gapdrum/core/runner_speed.py
+++ b/src/gapdrum/core/runner_speed.py
@@ -1,4 +1,4 @@
-"""The speed of a runner: the ratio of run time to stated work, from its last runs."""
+"""The speed of a runner: the ratio of run time to estimate of its last runs, greater if slower."""
 
 import statistics
 from collections import deque
@@ -7,7 +7,7 @@
 
 from gapdrum.core.models import RunKey
 
-# Stated work is 40% off; the median of this many runs is less than 10% off.
+# Estimates are 40% off; the median of this many runs is less than 10% off.
 MAX_SAMPLES = 24
 # Older runs don't count if there are enough newer ones: a runner may be slow for some seconds.
 VALID_MS = 3_000
@@ -27,7 +27,7 @@
 
 @attrs.define
 class RunnerSpeed:
-    """The times that the last runs of one runner took against their stated work.
+    """The times that the last runs of one runner took against their estimates.
 
     The median counts, so that one task that takes many times its estimate does not make the runner
     slow, and one that ends at once does not make it fast. A run at work counts once, with its
@@ -62,7 +62,7 @@
         return min(MAX_SAMPLES, len(self._valid(now_ms)))
 
     def slowness_permille(self, now_ms: int) -> int:
-        """Return the median ratio of run time to stated work; 0 if no recent run is known."""
+        """Return the median ratio of run time to estimate; 0 if no recent run is known."""
         ratios = self._valid(now_ms)
         if not ratios:
             return 0
--- a/src/gapdrum/core/runner_views.py
+++ b/src/gapdrum/core/runner_views.py
@@ -30,10 +30,11 @@
 
 @attrs.define(eq=False)
 class RunnerView:
-    """A runner; ``unreported_orders`` are the orders that its last room report does not include.
+    """A runner; ``unreported_orders`` are the runs that its last room report does not include.
 
     The runner gets no work before its agent has sent its holdings on this stream (``synced``), as
-    an order that crosses them would seem never to have arrived.
+    an order that crosses them would seem never to have arrived; the wait began at ``unsynced_ms``.
+    ``out`` are the tasks that are placed here, ``orders_sent`` the runs ordered on this stream.
     """
 
     place: Place
@@ -49,9 +50,10 @@
     free: Resources = ZERO_RESOURCES
     out: set[Task] = attrs.Factory(set)
     synced: bool = False
-    slowness_permille: int = 0
+    slowness_permille: int = 0  # run time to estimate, measured over ``speed_runs`` runs
     speed_runs: int = 0
-    kept_cpu_milli: dict[str, int] = attrs.Factory(dict)  # of the free room, by queue
+    # How much of the free room each queue may not use, as it is reserved for other queues.
+    kept_cpu_milli: dict[str, int] = attrs.Factory(dict)
 
     def apply_report(self, report: orders.RunnerReport) -> None:
         """Apply the agent's report of the runner's description and state."""
@@ -71,7 +73,7 @@
         self._update_free()
 
     def is_kept_from(self, queue: str, room: Resources) -> bool:
-        """Return whether there is room for a task that is reserved for other queues."""
+        """Return whether a task would fit, but only into room reserved for other queues."""
         kept = self.kept_cpu_milli.get(queue, 0)
         return self.free.holds(room) and self.free.cpu_milli - room.cpu_milli < kept
 
@@ -80,13 +82,16 @@
         return self.free.holds(room) and not self.is_kept_from(queue, room)
 
     def order(self, room: Resources) -> None:
-        """Record an order that was sent to the agent."""
+        """Take room for one run that is about to be ordered.
+
+        An order that can't be sent is not taken back: the next stream resets the count.
+        """
         self.orders_sent += 1
         self.unreported_orders.append((self.orders_sent, room))
         self.free = self.free - room
 
     def reset_orders(self, now_ms: int) -> None:
-        """Reset the order count for a new stream."""
+        """Reset the count of ordered runs for a new stream."""
         self.orders_sent = 0
         self.unreported_orders.clear()
         self.synced = False
