--- a/src/gapdrum/core/backlog.py
+++ b/src/gapdrum/core/backlog.py
@@ -18,12 +18,12 @@
 
 
 def work_of(steps: Iterable[Step]) -> int:
-    """Return the stated work of steps in milli-cores times milliseconds."""
+    """Return the work of steps: their room in milli-cores times their estimates in milliseconds."""
     return sum(step.tasks * step.resources.cpu_milli * step.estimate_ms for step in steps)
 
 
 def work_of_task(task: Task) -> int:
-    """Return the stated work of one task, in the same unit."""
+    """Return the work of one task, in the same unit."""
     return task.step.resources.cpu_milli * task.step.estimate_ms
 
 
@@ -64,7 +64,11 @@
 
 
 def tasks_ahead(jobs: Iterable[Job], priority: int, begin_by_ms: int) -> Iterator[Task]:
-    """Yield the waiting tasks placed before a new job that should begin by a time."""
+    """Yield about the waiting tasks that are placed before a new job that should begin by a time.
+
+    Unstarted jobs are compared by priority, then time; placement divides slack by the priority's
+    weight instead (``placement_rules.waiting_order``).
+    """
     for job in jobs:
         if job.is_unstarted and (job.priority, job.begin_by_ms) > (priority, begin_by_ms):
             continue
--- a/src/gapdrum/core/dispatch.py
+++ b/src/gapdrum/core/dispatch.py
@@ -39,7 +39,7 @@
         self.effects.schedule_placement()
 
     def drop_job(self, job_id: str, reason: str) -> Job | None:
-        """Forget a job that has ended or has a new owner; send no stop orders for its runs."""
+        """Forget a job that has ended, is refused or has a new owner; stop none of its runs."""
         job = self.jobs.pop(job_id, None)
         self.placer.waiting.discard(job_id)
         if job is not None:
@@ -54,7 +54,7 @@
             self._stop(task.place, task.run)
 
     def count_waiting(self) -> dict[str, int]:
-        """Return how many open jobs of each queue have not begun."""
+        """Return how many open jobs of each queue have not begun, ordered ones included."""
         counts: dict[str, int] = {}
         for job in self.jobs.values():
             if not job.begun and job.ending is None:
@@ -62,7 +62,7 @@
         return counts
 
     def refuse_unmeetable(self, now_ms: int) -> None:
-        """Refuse unstarted jobs that can no longer meet their latency objective."""
+        """Refuse non-durable, unstarted jobs that are unlikely to meet their latency objective."""
         for job in self.placer.list_unmeetable(now_ms):
             self.effects.note(
                 "job_given_up",
@@ -96,7 +96,10 @@
             self._release_lost(lost, now_ms)
 
     def agent_departed(self, view: AgentView, now_ms: int) -> None:
-        """Requeue tasks whose orders reached an agent after its decision to leave."""
+        """Remove an agent that has left for other entries, and requeue the tasks placed there.
+
+        Their orders have crossed its decision to leave, and it does not start them.
+        """
         for lost in self.fleet.agent_departed(view):
             self._release_lost(lost, now_ms)
         self.effects.schedule_placement()
@@ -106,7 +109,10 @@
             self._release_unconfirmed(task, lost.reason, now_ms)
 
     def _release_unconfirmed(self, task: Task, reason: str, now_ms: int) -> None:
-        """Requeue a task whose last run is over; the run may have begun."""
+        """Requeue a task whose run can no longer be at work; its end is unknown.
+
+        The run may have begun, so the job counts as begun.
+        """
         job = self.jobs.get(task.name.job_id)
         if job is not None:
             job.begun = True
@@ -157,9 +163,11 @@
             self.placer.release(job, task, event.detail, now_ms)
 
     def _ignore_event(self, place: Place, event: orders.RunEvent) -> None:
-        """Ignore an event of an earlier submission: counted for this one, the task could run twice.
+        """Log an event of an earlier submission, and don't apply it to the job.
 
-        No owner needs the run's end any more, so the runner may forget it.
+        Applied to this submission, it could make the task run twice. An agent that found the run
+        after its own restart takes it for a durable one and keeps its end until an entry
+        acknowledges it, so such an end is passed on to be acknowledged.
         """
         self.effects.note(
             "event_of_earlier_submission",
@@ -213,6 +221,9 @@
             ran_ms=now_ms - task.started_ms if task.started_ms else 0,
         )
         if event.attempt != task.attempt and end is RunEnd.DONE:
+            # An earlier attempt has done the work. A durable job's task is done only by its last
+            # attempt, so this end must not count; a non-durable task is done, and its newer run
+            # is stopped.
             if job.durable:
                 self._acknowledge_superseded_end(place, event.end_number)
                 return
@@ -246,14 +257,14 @@
             job.unstored_ends.append(end)
 
     def acknowledge_ends(self, place: Place, numbers: tuple[int, ...]) -> None:
-        """Tell an agent that its runner may forget ends, by their numbers."""
+        """Let an agent acknowledge ends to its runner, by their numbers."""
         self.effects.send(place.agent, orders.EndsStored(place.runner_id, numbers, ()))
 
     def _acknowledge_superseded_end(self, place: Place, number: int) -> None:
         self.effects.send(place.agent, orders.EndsStored(place.runner_id, (), (number,)))
 
     def acknowledge_stored_ends(self, job: Job, ends: list[StoredEnd]) -> None:
-        """Tell the agents that ends of a job are stored and may be forgotten."""
+        """Let the agents acknowledge ends of a job, which are stored now."""
         by_place: dict[Place, list[int]] = {}
         for end in ends:
             by_place.setdefault(end.place, []).append(end.number)
@@ -262,7 +273,7 @@
         job.unstored_ends = [end for end in job.unstored_ends if end not in ends]
 
     def _handle_straggler(self, job: Job, task: Task, event: orders.RunEvent, now_ms: int) -> None:
-        """Stop a straggling run if its task is expected to end sooner on another runner."""
+        """Stop a straggling run if it is to be moved; the stop's end requeues its task."""
         decision = self.placer.judge_straggler(job, task, event, now_ms)
         self.effects.note(
             "task_straggles",
@@ -326,7 +337,8 @@
         if row.phase == orders.HELD_ENDED:
             if job is not None:
                 self._apply_held_end(view, place, row, task, now_ms)
-            # An unowned end needs nothing here: its owner is told too, or the agent sends it later.
+            # An unowned end needs nothing here: the agent sends it to its owner too, or resends it
+            # later to any entry.
             return []
         if task is None:
             if self.effects.has_ended(name.job_id):
@@ -355,7 +367,7 @@
         self._apply_event(view, place, event, now_ms)
 
     def _is_current(self, view: AgentView, place: Place, row: orders.HeldRun) -> bool:
-        """Tell whether a row is of the job's current submission, as far as is known.
+        """Tell whether a held run or end is of the job's current submission, as far as is known.
 
         A run that has not ended always counts: a task must not start again beside an earlier run.
         """
--- a/src/gapdrum/core/effects.py
+++ b/src/gapdrum/core/effects.py
@@ -19,7 +19,10 @@
         """Answer the callers of a job that it has not run and will not run."""
 
     def on_unowned_end(self, place: Place, event: orders.RunEvent) -> None:
-        """Resolve a run's end whose job this entry does not own."""
+        """Acknowledge a run's end that no job of this entry needs, if its job is no longer open.
+
+        The job is not owned here, or the end belongs to an earlier submission of it.
+        """
 
     def has_ended(self, job_id: str) -> bool:
         """Tell whether a job is known to have ended."""
--- a/src/gapdrum/core/expected_end.py
+++ b/src/gapdrum/core/expected_end.py
@@ -16,7 +16,10 @@
 
 
 class DeadlineMargin(enum.IntEnum):
-    """How surely a task that begins now ends within its job's objective."""
+    """How surely a task that begins now ends within its job's latency objective.
+
+    The firm deadline, which is later, plays no part.
+    """
 
     LATE = 0
     CLOSE = 1
--- a/src/gapdrum/core/fleet.py
+++ b/src/gapdrum/core/fleet.py
@@ -120,7 +120,8 @@
                 self.effects.note("agent_lost", agent=view.agent, silent_ms=silent_ms)
                 lost += [self._remove(one, "agent_lost") for one in self._runners_of(view.agent)]
         for runner in list(self.runners.values()):
-            # The agent has rejoined without reporting the runner, which is gone or unreachable.
+            # The agent has joined again without sending its holdings at the runner, which is gone
+            # or unreachable.
             if not runner.synced and now_ms - runner.unsynced_ms > run_bounds.SILENCE_LIMIT_MS:
                 lost.append(self._remove(runner, "runner_not_told"))
         return lost
--- a/src/gapdrum/core/fleet_speeds.py
+++ b/src/gapdrum/core/fleet_speeds.py
@@ -14,7 +14,7 @@
 UNEVEN_FACTOR = 1.5**2
 # The share of the runners that is left out as outliers at either end.
 OUTLIER_SHARE = 0.1
-# Among fewer known runners a single one that is slow for a while would count as an end.
+# Among fewer known runners a single one that is slow for a while would make the range wide.
 MIN_KNOWN_RUNNERS = 4
 # A speed that is measured over this many runs is weighted half, the usual speed the other half.
 HALF_WEIGHT_RUNS = 4
@@ -23,7 +23,11 @@
 
 @attrs.frozen
 class FleetSpeeds:
-    """The run times at runners relative to the usual, 1.0 if the runners are alike."""
+    """The run times at runners relative to the usual, 1.0 if the runners are alike.
+
+    A greater value is a slower runner; ``fastest`` is the least one. ``usual_permille`` is the
+    median over the runners of the ratio of run time to estimate.
+    """
 
     usual_permille: float = 0.0
     relative: Mapping[RunnerView, float] = attrs.Factory(dict)
--- a/src/gapdrum/core/placement_rules.py
+++ b/src/gapdrum/core/placement_rules.py
@@ -20,8 +20,9 @@
 FREE_SHARE_STEPS = 8
 # If a larger share of the runners is suspect, the tasks are at fault and not the runners.
 MAX_SUSPECT_SHARE = 0.5
-# A runner is slow above this many times the usual slowness; healthy runners differ by 1.6.
-SLOW_FACTOR = 2.5
+# A runner is slow above this many times the usual run time; those of healthy runners differ by a
+# factor of 1.6.
+SLOW_RUNNER_FACTOR = 2.5
 PERMILLE = 1_000
 # A job's slack is divided by this for each level of its queue's priority, 0 the most urgent.
 PRIORITY_WEIGHT = 0.3
@@ -33,7 +34,7 @@
 
 @attrs.frozen
 class RunnerPool:
-    """The runners of an upstream at one moment, and their usual speed.
+    """The usable runners of an upstream at one moment, and their speeds.
 
     The runners ``with_room`` had room for the smallest waiting task.
     """
@@ -48,7 +49,7 @@
     def is_slow(self, view: RunnerView) -> bool:
         """Tell whether a runner is much slower than usual."""
         usual = self.speeds.usual_permille
-        return bool(usual) and view.slowness_permille > SLOW_FACTOR * usual
+        return bool(usual) and view.slowness_permille > SLOW_RUNNER_FACTOR * usual
 
     def forecast_completion(self, job: Job, task: Task, now_ms: int) -> CompletionForecast:
         """Return the forecast of a task that begins now."""
@@ -122,10 +123,10 @@
 
 
 def urgency_of(job: Job, now_ms: int) -> int:
-    """Return a job's urgency: its priority class, then how often its slack is halved.
+    """Return a job's urgency, greater for the more urgent: its class, then how small its slack is.
 
-    Agents offer room to the most urgent job of all entries: an offer to any entry that waits
-    would serve the worst-served kind of job less well.
+    Agents offer room to the entry with the most urgent job. If any waiting entry got the offer,
+    the jobs that are served worst already would be served less well.
     """
     job_class = priority_class(job, now_ms)
     halvings = MAX_HALVINGS - int(_slack_ms(job, now_ms)).bit_length()
@@ -162,7 +163,11 @@
 
 
 def waits_for_better(job: Job, task: Task, pool: RunnerPool, now_ms: int) -> bool:
-    """Tell whether an unplaced task leaves room unused at runners where it would end late."""
+    """Tell whether an unplaced task could take room now, so that it waits for a better runner.
+
+    That it would end late there is inferred from its not being placed. It need not hold for a
+    task that the pass did not try, after others of its size had found no room.
+    """
     if not pool.speeds.relative and not task.step.data_rack:
         return False
     return any(_may_take(view, job, task, pool, now_ms) for view in pool.with_room)
@@ -177,7 +182,7 @@
 
 
 def may_ever_fit(task: Task, pool: RunnerPool) -> bool:
-    """Tell whether an idle runner of the pool could hold the task."""
+    """Tell whether a runner of the pool could hold the task if it were idle."""
     return any(could_hold(view, task.step) for view in pool.runners)
 
 
--- a/src/gapdrum/core/placer.py
+++ b/src/gapdrum/core/placer.py
@@ -39,7 +39,7 @@
 # A placement pass skips the other jobs of an upstream once so many found no room: smaller ones
 # may still fit, but under overload trying all is wasted work. Jobs that no runner could ever hold
 # do not count, or a few of them would block all others.
-MAX_HELD_JOBS = 8
+MAX_DEFERRED_JOBS = 8
 # Minimum interval of placement passes while no runner has room.
 TRY_INTERVAL_MS = 20
 MEDIAN = 0.5  # the quantile of the queue's durations that a task is expected to take
@@ -53,7 +53,7 @@
 
     zone: str
     effects: Effects
-    holds_lease: Callable[[], bool]  # durable jobs start only while it is held
+    holds_lease: Callable[[], bool]  # whether the entry holds its lease; else no durable job starts
     fleet: Fleet
     jobs: dict[str, Job]
     started_ms: int
@@ -63,7 +63,7 @@
     stragglers: StragglerPolicy = attrs.Factory(
         lambda self: StragglerPolicy(self.far_factor), takes_self=True
     )
-    waiting: set[str] = attrs.Factory(set)
+    waiting: set[str] = attrs.Factory(set)  # jobs with tasks to place, begun jobs included
     backlog: Backlog = attrs.Factory(Backlog)
     meter: DemandMeter = attrs.Factory(DemandMeter)
     _has_new_jobs: bool = False
@@ -73,7 +73,10 @@
     def expected_wait_ms(
         self, steps: tuple[Step, ...], priority: int, begin_by_ms: int, now_ms: int
     ) -> int:
-        """Return how long a new job would wait for room behind the jobs placed before it."""
+        """Return how long a new job would wait for room behind the jobs placed before it.
+
+        The waiting work and its rate of placement are of all upstreams together.
+        """
         if not self.waiting:
             return 0
         jobs = (self.jobs[job_id] for job_id in self.waiting)
@@ -88,7 +91,7 @@
         begin_by_ms: int,
         now_ms: int,
     ) -> bool:
-        """Tell whether the free room holds a new job and all waiting tasks placed before it.
+        """Tell whether an upstream's free room holds a new job and the waiting tasks before it.
 
         Free room counts in multiples of the job's largest task: smaller remainders are no use.
         """
@@ -123,7 +126,7 @@
         )
 
     def list_unmeetable(self, now_ms: int) -> list[Job]:
-        """Return unstarted jobs that can no longer meet their latency objective.
+        """Return the non-durable, unstarted jobs that are unlikely to meet their latency objective.
 
         While agents join after the entry's start, room may appear at any moment, so such jobs
         wait until their firm deadline.
@@ -179,9 +182,9 @@
     def _place_all(self, jobs: list[Job], pools: dict[str, RunnerPool], now_ms: int) -> None:
         holds_lease = self.holds_lease()
         most_urgent: dict[str, Job] = {}
-        held: Counter[str] = Counter()
+        deferred: Counter[str] = Counter()
         for job in sorted(jobs, key=lambda job: waiting_order(job, now_ms)):
-            if job.durable and not holds_lease or held[job.upstream] >= MAX_HELD_JOBS:
+            if job.durable and not holds_lease or deferred[job.upstream] >= MAX_DEFERRED_JOBS:
                 continue
             if not job.may_start(now_ms):
                 continue
@@ -191,9 +194,9 @@
                 continue
             ready = job.ready_tasks()
             if any(waits_for_better(job, task, pool, now_ms) for task in ready):
-                continue  # it leaves room unused where it would end late, and blocks no other job
+                continue  # it could be placed where it would end late; others may use that room
             if any(may_ever_fit(task, pool) for task in ready):
-                held[job.upstream] += 1
+                deferred[job.upstream] += 1
                 most_urgent.setdefault(job.upstream, job)  # jobs come in order of urgency
         waiting = Counter(job.upstream for job in jobs)
         least = self._least_waiting(jobs)
@@ -216,14 +219,14 @@
     def _place_job(self, job: Job, pool: RunnerPool, now_ms: int) -> bool:
         """Place the ready tasks of a job that find room; return whether others still wait."""
         chosen: dict[Place, list[Task]] = {}
-        held = False
+        deferred = False
         refused = None
         ready = job.ready_tasks()
         for task in ready:
             runner = choose_runner(job, task, pool, self.zone, now_ms, self.rng)
             if runner is None:
-                held = True
-                self._log_hold(job, task, pool, now_ms)
+                deferred = True
+                self._log_deferral(job, task, pool, now_ms)
                 if task.step.resources == refused:
                     break
                 refused = task.step.resources
@@ -233,16 +236,16 @@
             chosen.setdefault(runner.place, []).append(task)
         for key, tasks in chosen.items():
             self._send_order(job, self.fleet.runners[key], tasks, now_ms)
-        return held or any(task.phase is TaskPhase.WAITING for task in ready)
+        return deferred or any(task.phase is TaskPhase.WAITING for task in ready)
 
-    def _log_hold(self, job: Job, task: Task, pool: RunnerPool, now_ms: int) -> None:
+    def _log_deferral(self, job: Job, task: Task, pool: RunnerPool, now_ms: int) -> None:
         if not task.hold_logged:
             task.hold_logged = True
-            reason = self._hold_reason(job, task, pool, now_ms)
+            reason = self._deferral_reason(job, task, pool, now_ms)
             self.effects.note("task_held", request=job.job_id, task=task.name.text, reason=reason)
 
     @staticmethod
-    def _hold_reason(job: Job, task: Task, pool: RunnerPool, now_ms: int) -> str:
+    def _deferral_reason(job: Job, task: Task, pool: RunnerPool, now_ms: int) -> str:
         """Return why a task waits: it would end late, room is reserved, or there is none."""
         if waits_for_better(job, task, pool, now_ms):
             return "late_where_room_is"
@@ -300,7 +303,7 @@
         return int(task.step.estimate_ms * task.slowness * median)
 
     def release(self, job: Job, task: Task, reason: str, now_ms: int) -> None:
-        """Requeue a task whose last run did not complete it."""
+        """Requeue a task that is ordered or running and whose run did not complete it."""
         if task.phase not in (TaskPhase.ORDERED, TaskPhase.RUNNING):
             return
         self.effects.note(
@@ -318,7 +321,7 @@
         self.waiting.add(job.job_id)
 
     def count_uneven_runners(self) -> int:
-        """Return how many runners differ in speed so much that placement regards it."""
+        """Return how many runners have a known speed, where speeds differ enough to matter."""
         by_upstream: dict[str, list[RunnerView]] = {}
         for runner in self.fleet.open_runners():
             by_upstream.setdefault(runner.upstream, []).append(runner)
@@ -327,7 +330,11 @@
     def judge_straggler(
         self, job: Job, task: Task, event: orders.RunEvent, now_ms: int
     ) -> MoveDecision:
-        """Decide whether a straggling run is moved to another runner, and count the move."""
+        """Decide whether a straggling run is moved to another runner, and count the move.
+
+        Moved or not, the task avoids the run's runner from now on. There is no target if no
+        runner has room or the best one is avoided.
+        """
         task.avoided.add(task.place.runner_id)
         pool = self._build_pool(job.upstream)
         other = choose_runner(job, task, pool, self.zone, now_ms, self.rng)
--- a/src/gapdrum/core/stragglers.py
+++ b/src/gapdrum/core/stragglers.py
@@ -1,8 +1,10 @@
 """Straggler mitigation: whether a straggling run is stopped and moved to another runner.
 
-A moved run starts from the beginning, so it is moved only if it is expected to end clearly sooner
-there. How much work it has follows from the other runs at its runner: where these run at the
-usual speed, the task itself takes long, and would do so at any runner.
+A moved run starts from the beginning, so a slow run is moved only if it is expected to end clearly
+sooner at the other runner. A stalled run would not end where it is, so it is moved also without a
+target; its task then waits for room. How much work a slow run has follows from the other runs at
+its runner: where these run at the usual speed, the task itself takes long, and would do so at any
+runner.
 """
 
 import math
@@ -17,12 +19,13 @@
 from gapdrum.core.runner_views import RunnerView
 
 PERMILLE = 1_000
-# Moves allowed per slow task, and the share of all starts that moves may take, so that a slow day
-# does not become a flood of restarts.
+# Moves allowed per task, and the share of all placements that moves may take, so that many slow
+# runners at once do not cause a flood of restarts.
 MAX_MOVES = 3
 MOVE_BUDGET_PERCENT = 15
-# A runner is slow from so many times the usual duration on; healthy runners differ by 1.6.
-SLOW_FACTOR = 2.0
+# A runner is slow from so many times the usual run time on; those of healthy runners differ by a
+# factor of 1.6.
+SLOW_RUNNER_FACTOR = 2.0
 # Projections rest on whole percents, and a slow runner may recover: less does not justify a move.
 MIN_SPEEDUP = 1.25
 # Time for the stop, its listed end, the new order and the start.
@@ -39,7 +42,10 @@
 
 @attrs.frozen
 class MoveContext:
-    """The runner of a run and the one to move it to; ``target`` is None if none has room."""
+    """The runner of a run and the one to move it to.
+
+    ``target`` is None if no runner has room, or if the best one with room is avoided.
+    """
 
     source: RunnerView | None
     target: RunnerView | None
@@ -61,7 +67,7 @@
     def _factor(self, permille: int, view: RunnerView | None) -> float:
         """Return a runner's current slowness if it is slow, else its long-term relative one."""
         factor = permille / (self.speeds.usual_permille or PERMILLE)
-        return factor if factor >= SLOW_FACTOR else self.speeds.of(view)
+        return factor if factor >= SLOW_RUNNER_FACTOR else self.speeds.of(view)
 
 
 @attrs.frozen
@@ -102,7 +108,7 @@
         return MoveDecision(moved, remaining_ms, elsewhere_ms)
 
     def _may_move_stalled(self, task: Task, stalled_ms: int) -> bool:
-        """Tell whether a stalled run is moved; it would not end where it is."""
+        """Tell whether a stalled run is moved, whether there is a target or not."""
         may_spend = task.moves < MAX_MOVES and self.budget.spend()
         return may_spend or stalled_ms >= stall_limit_ms(task.moves)
 
