--- a/src/gapdrum/core/configuration.py
+++ b/src/gapdrum/core/configuration.py
@@ -20,7 +20,9 @@
     """A queue: the host and path prefix of its submissions, and how its jobs are run.
 
     A job's latency objective is ``latency_factor`` times the work of its longest chain of steps,
-    plus ``latency_slack_ms``. Queues of one priority share scarce room by their ``weight``;
+    plus ``latency_slack_ms``. A job fails once a task has ``failures_allowed`` failed attempts.
+    ``upstream`` names the group of runners that its jobs use. The most urgent ``priority`` is 0.
+    Queues of one priority share scarce room by their ``weight``;
     ``reserved_permille`` of the room is reserved for the queue while it is scarce, and the queue
     never uses more of a runner than ``ceiling_permille``.
     """
--- a/src/gapdrum/core/jobs.py
+++ b/src/gapdrum/core/jobs.py
@@ -16,9 +16,10 @@
 # Time that a job takes beside waiting and running: the request and its answer, the order to the
 # agent and the poll that shows the end.
 OVERHEAD_MS = 30
-# Share of the slack from its stated work that a job may wait before it begins. Stated work is off
-# by 40% and a job's last task starts after its first: most jobs that begin later end late, and
-# take room from others.
+# A job's objective exceeds its stated work by ``(latency_factor - 1) * chain_ms`` and a constant:
+# the share of the former that a job may wait before it begins. Stated work is off by 40% and a
+# job's last task starts after its first: most jobs that begin later end late, and take room from
+# others.
 BEGIN_SHARE = 0.5
 
 
@@ -50,11 +51,13 @@
 
 @attrs.define(eq=False)
 class Task:
-    """One task of a job; ``attempt`` is the number of its last start.
+    """One task of a job; ``attempt`` is the number of its last attempt, 0 before the first.
 
     ``place_by_attempt`` holds where each attempt was ordered or adopted, and
     ``incarnation_by_attempt`` the incarnation of the agent that each was ordered from.
-    ``slowness`` is the expected duration of the last one against the usual one, 0 if not known.
+    ``slowness`` is the expected duration of the last attempt at its runner, relative to a usual
+    runner (not to the estimate), 0 if not known. ``avoided`` are the identities of runners where
+    an attempt failed, straggled or was rejected; ``moves`` counts the moves for straggling.
     """
 
     name: TaskName
@@ -73,11 +76,11 @@
 
     @property
     def run(self) -> RunKey:
-        """Return the key of the last start."""
+        """Return the key of the last attempt's run."""
         return RunKey(self.name, self.attempt)
 
     def assign_place(self, place: Place) -> None:
-        """Record the runner of the last start."""
+        """Record the runner of the last attempt."""
         self.place = place
         self.place_by_attempt[self.attempt] = place
 
@@ -86,10 +89,11 @@
 class Job:
     """An open job that this entry owns.
 
-    ``chain_ms`` is the stated work of its longest chain of steps. A ``durable`` job has a row in
-    the store, at ``version``, and another entry takes it over if this one is lost. The caller of
-    a non-durable job waits for its end and may submit it again: each time gets its own
-    ``submission``.
+    ``chain_ms`` is the stated work of its longest chain of steps: the sum of their estimates. A
+    ``durable`` job has a row in the store, at ``version``, and another entry takes it over if this
+    one is lost. The caller of a non-durable job waits for its end and may submit it again: each
+    time gets its own ``submission``. ``begun`` is set once a run may have started, and ``ending``
+    is the final state from when it is known until it is stored and the job is dropped.
     """
 
     job_id: str
@@ -101,8 +105,8 @@
     version: int
     durable: bool
     accepted_wall_ms: int
-    accepted_ms: int
-    failures_allowed: int
+    accepted_ms: int  # accepted or taken over by this entry; objective counts from here
+    failures_allowed: int  # the job fails once a task has so many failed attempts
     priority: int
     chain_ms: int
     objective_ms: int
@@ -115,14 +119,14 @@
     begun: bool = False
     ending: JobState | None = None
     has_progress_row: bool = False
-    progress_dirty_ms: int = 0
+    progress_dirty_ms: int = 0  # since when there is progress that is not stored, 0 if none is
     unstored_ends: list[StoredEnd] = attrs.Factory(list)
-    unknown_deadline_ms: int = 0
+    unknown_deadline_ms: int = 0  # when tasks that are still UNKNOWN are requeued, 0 if none is
     caller_deadline_ms: int | None = None  # when its last caller stops waiting, if known
 
     @property
     def latest_start_ms(self) -> int:
-        """Return the latest time at which its tasks can start for it to meet its objective."""
+        """Return the latest time for its first tasks to start if it is to meet its objective."""
         return self.accepted_ms + self.objective_ms - self.chain_ms - OVERHEAD_MS
 
     @property
@@ -137,7 +141,7 @@
 
     @property
     def is_unstarted(self) -> bool:
-        """Tell whether none of its tasks has started or is ordered."""
+        """Tell whether none of its tasks has started, is ordered or is UNKNOWN."""
         return not self.begun and all(task.phase is TaskPhase.WAITING for task in self.tasks)
 
     @property
@@ -153,7 +157,7 @@
             self.caller_deadline_ms = max(self.caller_deadline_ms, until_ms)
 
     def may_start(self, now_ms: int) -> bool:
-        """Tell whether a caller may still be waiting for the job.
+        """Tell whether tasks may start as far as the job's callers are concerned: one may wait.
 
         A caller that has stopped waiting may have submitted the job again to another entry.
         """
@@ -186,12 +190,12 @@
         ]
 
     def next_attempt(self, task: Task) -> int:
-        """Return a task's next attempt number, above those of all its starts and owners."""
+        """Return a task's next attempt number, above those of all owners' attempts so far."""
         floor = (self.epoch - 1) * ATTEMPTS_PER_EPOCH
         return max(task.attempt, floor) + 1
 
     def record_end(self, task: Task, attempt: int, end: RunEnd, now_ms: int) -> None:
-        """Record how a run ended; a task that is done stays done, whichever run did it."""
+        """Record how a run ended that counts for the task; a task that is done stays done."""
         if task.phase is TaskPhase.DONE:
             return
         if end is RunEnd.DONE:
@@ -200,13 +204,14 @@
         elif end is RunEnd.FAILED:
             task.failed_attempts.add(attempt)
             self.progress_dirty_ms = self.progress_dirty_ms or now_ms
-        # A later run of a taken-over task may be at an agent that has not reported it yet.
+        # A task of phase UNKNOWN is not requeued here: a later run of it may be at an agent that
+        # has not reported yet.
         open_phases = (TaskPhase.ORDERED, TaskPhase.RUNNING)
         if task.phase in open_phases and attempt == task.attempt:
             self.release(task)
 
     def release(self, task: Task) -> None:
-        """Requeue a task whose last run did not complete it."""
+        """Set a task whose last run did not complete it to be placed again."""
         if task.phase is TaskPhase.DONE:
             return
         task.phase = TaskPhase.WAITING
@@ -228,7 +233,7 @@
                 yield task
 
     def progress(self) -> JobProgress:
-        """Return the final facts on its tasks: which are done, and their failed attempts."""
+        """Return the facts on its tasks that never change back: done ones and failed attempts."""
         return JobProgress(
             tuple(
                 TaskProgress(
@@ -263,7 +268,7 @@
     latency_factor: float,
     latency_slack_ms: int,
 ) -> Job:
-    """Return a job from its row, with all tasks waiting."""
+    """Return a job from its row, with all tasks waiting; its objective counts from ``now_ms``."""
     steps = tuple(row.to_step() for row in record.steps)
     chain_ms = longest_chain_ms(steps)
     tasks = [
--- a/src/gapdrum/core/models.py
+++ b/src/gapdrum/core/models.py
@@ -16,7 +16,11 @@
 
 
 class RunEnd(enum.Enum):
-    """How a run ended. Only ``FAILED`` counts against a task's allowed failures."""
+    """How a run ended, as runners report it. Only ``FAILED`` is a failed attempt of the task.
+
+    Gangs are groups of tasks that run together; jobs with gangs are refused at submission, so
+    no run that an entry orders ends as one of a gang.
+    """
 
     DONE = "done"
     FAILED = "failed"
@@ -70,7 +74,11 @@
 
 @attrs.frozen
 class Step:
-    """A group of equal tasks of a job that begins when the steps in ``after`` are done."""
+    """A group of equal tasks of a job that begins when the steps in ``after`` are done.
+
+    ``estimate_ms`` is the stated run time of one task, and ``runner_limit`` how many of the tasks
+    may be at one runner at once, 0 for any number.
+    """
 
     tasks: int
     resources: Resources
@@ -83,7 +91,10 @@
 
 @attrs.frozen
 class TaskName:
-    """The name of a task: ``JOB.OCCURRENCE.STEP.INDEX``."""
+    """The name of a task: ``JOB.OCCURRENCE.STEP.INDEX``.
+
+    The occurrence is of a repeated job on the platform; it is 0 for all jobs here.
+    """
 
     job_id: str
     occurrence: int
@@ -104,7 +115,7 @@
 
 @attrs.frozen
 class RunKey:
-    """The key of one run: a task and the number of its start."""
+    """The key of one run: a task and the number of the attempt."""
 
     task: TaskName
     attempt: int
--- a/src/gapdrum/core/orders.py
+++ b/src/gapdrum/core/orders.py
@@ -27,7 +27,7 @@
 LOST = "lost"
 STRAGGLING = "straggling"
 
-# Why a run is a straggler.
+# Why a run is a straggler; these values and those below appear in the logs as they are.
 STALLED = "stands_still"
 SLOW = "crawls"
 
@@ -39,7 +39,7 @@
 # Why an agent did not start an ordered run.
 NO_ROOM = "no_room"
 ROOM_KEPT = "room_kept"  # reserved for other queues
-JOB_SUPERSEDED = "job_superseded"
+JOB_SUPERSEDED = "job_superseded"  # another owner has claimed the job with a higher epoch
 ORDER_EXPIRED = "order_expired"
 RUNNER_GONE = "runner_gone"
 RUNNER_DRAINING = "runner_draining"
@@ -52,7 +52,7 @@
 REJECTED_THERE = (RUNNER_REJECTED, RUN_PRESENT)
 
 # Why a run was lost, other than RUNNER_GONE.
-LEASE_LAPSED = "lease_lapsed"
+LEASE_LAPSED = "lease_lapsed"  # of an unreachable runner; RunEnd.LEASE_LAPSED is a listed end
 ENDED_BEFORE = "ended_before_adoption"
 
 # States of a runner that are reported to entries.
@@ -77,7 +77,7 @@
 @message(41)
 @attrs.frozen
 class AgentBeat:
-    """A heartbeat of the agent; the entry echoes its clock."""
+    """A heartbeat of the agent to an entry, which echoes its clock in a ``BeatEcho``."""
 
     clock_ms: int = count_field()
 
@@ -209,7 +209,7 @@
 @message(49)
 @attrs.frozen
 class ZoneDrainsTold:
-    """The availability zones that operators have drained, as of a version of their table.
+    """The availability zones that operators have drained, as of a version of the table of them.
 
     Entries and agents exchange them, so a process that is cut off from the store learns of them.
     """
@@ -221,7 +221,7 @@
 @message(45)
 @attrs.frozen
 class JobLost:
-    """Another entry has claimed a job of this one with a higher epoch."""
+    """From an agent to a job's former owner: another entry has claimed it with a higher epoch."""
 
     job_id: str = text_field()
     epoch: int = count_field()
@@ -232,8 +232,8 @@
 class EntryGreeting:
     """The first message of an entry on an agent's stream.
 
-    ``former_owners`` are earlier incarnations of the same process, which ended as it lost its
-    lease: the entry is going to claim the runs of callers that wait there.
+    ``former_owners`` are owner names that the same process had before it lost its entry lease. Its
+    callers have stayed connected, so it goes on with its non-durable runs under the new name.
     """
 
     owner: str = text_field()
@@ -246,8 +246,8 @@
     """The last reading of the agent's clock that the entry received.
 
     Runs of durable jobs continue only while the entry holds its lease in the store, as otherwise
-    another entry may have taken these jobs over. While ``table_followed`` is set, the entry
-    follows the operators' table, and the agent need not.
+    another entry may have taken these jobs over. While ``table_followed`` is set, the entry reads
+    the operators' table of drained zones for changes, and the agent need not.
     """
 
     clock_ms: int = count_field()
@@ -322,7 +322,8 @@
     """Ends that the agent may acknowledge to the runner.
 
     ``superseded`` are ends of tasks that were started anew before the end was known. They must not
-    count, so the agent acknowledges them only once the runner's lease has lapsed.
+    count. An acknowledged end counts unless the runner's lease has lapsed after it, so the agent
+    lets the lease lapse before it acknowledges them.
     """
 
     runner_id: str = text_field()
@@ -434,7 +435,7 @@
 
 @attrs.frozen
 class AdoptedRun:
-    """A run that the agent continues for this entry, and the room that the run takes."""
+    """A run that the agent is to adopt for this entry, and the room that the run takes."""
 
     task: str
     attempt: int
@@ -454,7 +455,7 @@
 @message(56)
 @attrs.frozen
 class AdoptRuns:
-    """Runs at a runner that the agent is to continue for this entry."""
+    """Runs at a runner that the agent is to adopt: to let continue for this entry."""
 
     runner_id: str = text_field()
     runs: tuple[AdoptedRun, ...] = rows_field(AdoptedRun, MAX_ROWS)
--- a/src/gapdrum/core/planned_shutdown.py
+++ b/src/gapdrum/core/planned_shutdown.py
@@ -4,8 +4,9 @@
 
 # Stated work is off by 40%, and the slowest runners take a quarter longer than stated.
 RUNTIME_MARGIN_FACTOR = 1.5
-# Time for the order to the agent, the poll that shows the end, and the answer.
-OVERHEAD_MS = 200
+# Time for the order to the agent, the poll that shows the end, and the answer; more than is
+# deducted from objectives (``jobs.OVERHEAD_MS``).
+SHUTDOWN_OVERHEAD_MS = 200
 
 
 @attrs.frozen
@@ -31,7 +32,7 @@
         A job that no other entry could end in time is accepted if its stated work just fits.
         """
         left_ms = self.ends_ms - received_ms
-        if left_ms >= RUNTIME_MARGIN_FACTOR * chain_ms + OVERHEAD_MS:
+        if left_ms >= RUNTIME_MARGIN_FACTOR * chain_ms + SHUTDOWN_OVERHEAD_MS:
             return True
-        in_time_elsewhere = self.resubmit_ms + chain_ms + OVERHEAD_MS <= objective_ms
-        return not in_time_elsewhere and left_ms >= chain_ms + OVERHEAD_MS
+        in_time_elsewhere = self.resubmit_ms + chain_ms + SHUTDOWN_OVERHEAD_MS <= objective_ms
+        return not in_time_elsewhere and left_ms >= chain_ms + SHUTDOWN_OVERHEAD_MS
--- a/src/gapdrum/core/poll_schedule.py
+++ b/src/gapdrum/core/poll_schedule.py
@@ -1,8 +1,9 @@
 """When a runner is polled, which answers are outdated, and whether the runner can be reached.
 
-One poll at a time, which waits at the runner for the next end, is enough while answers arrive. A
-lost answer hides all ends until the poll times out, which takes longer than a short task's slack.
-So for some time after a loss polls are short, and the next one begins before the last is answered.
+A poll renews the runner's lease, lists its runs and ends, and waits there for the next end. One at
+a time is enough while answers arrive. A lost answer hides all ends until the poll times out, which
+takes longer than a short task's slack. So for some time after a loss polls are short, and the next
+one begins before the last is answered.
 """
 
 from collections.abc import Callable
--- a/src/gapdrum/core/queue_demand.py
+++ b/src/gapdrum/core/queue_demand.py
@@ -13,7 +13,8 @@
 # Time constant of the demand's average: a burst of a second or two hardly counts, and a lasting
 # change is followed within seconds.
 AVERAGE_MS = 3_000
-# A queue without arrivals for this long has no demand any more.
+# A queue has no demand any more once its count of jobs has decayed to that of a single job after
+# this time; for 100 jobs at once that is about 26 s.
 MAX_IDLE_MS = 4 * AVERAGE_MS
 PPM = 1_000_000
 # Upper limit of a demand, which may exceed the room that there is.
@@ -29,9 +30,9 @@
     decayed_ms: int
     jobs: float = 0.0
     work: float = 0.0  # in milli-cores times milliseconds
-    spread: float = 0.0  # the same, times the milli-cores that a step takes at once
+    spread: float = 0.0  # work times the step's milli-cores, from which the variance follows
     run_ms: float = 0.0
-    patience_ms: float = 0.0
+    patience_ms: float = 0.0  # how long the jobs may wait until they begin
 
     def decay(self, now_ms: int) -> None:
         """Decay the sums to a time."""
--- a/src/gapdrum/core/records.py
+++ b/src/gapdrum/core/records.py
@@ -1,8 +1,8 @@
 """The rows of jobs and entries in the platform's store, as msgpack records.
 
 A durable job's row is in the table of open jobs from acceptance to its end, when one transaction
-moves it to the table of ended jobs. The job's identifier picks the part, which spreads writes over
-the parts and lets jobs of one part share a transaction.
+moves it to the table of ended jobs. The tables of jobs are partitioned: a job's identifier picks
+its part, which spreads writes and lets jobs of one part share a transaction.
 """
 
 from typing import TypeVar
@@ -23,7 +23,7 @@
 ENDED_TABLE = "ended"
 LEASE_TABLE = "leases"
 ADDRESS_TABLE = "entries"
-UNPARTITIONED = ""
+UNPARTITIONED = ""  # the only part of a table that is not partitioned
 # A part takes 200 transactions a second, one after another, and a job needs two: eight parts carry
 # the 430 jobs a second of the larger deployments with room to spare.
 JOB_PARTS = tuple(str(number) for number in range(8))
@@ -220,7 +220,7 @@
 
 
 def owner_name(instance: str, incarnation: str) -> str:
-    """Return the owner's name in a job's row: one incarnation of an entry."""
+    """Return the owner's name in a job's row, for one incarnation of the entry ``instance``."""
     return f"{instance}/{incarnation}"
 
 
@@ -230,5 +230,5 @@
 
 
 def task_name(job_id: str, step: int, index: int) -> TaskName:
-    """Return the name of a task of a job without repeated occurrences."""
+    """Return the name of a task; its occurrence is 0, as jobs here don't repeat."""
     return TaskName(job_id, 0, step, index)
--- a/src/gapdrum/core/room_offers.py
+++ b/src/gapdrum/core/room_offers.py
@@ -39,7 +39,7 @@
         return bool(self._offers)
 
     def kept_from(self, owner: str, now_ms: int) -> Resources:
-        """Return the room that is offered to other owners than this one."""
+        """Return the room that an owner may not use, as it is offered to others."""
         self._expire(now_ms)
         offered = ZERO_RESOURCES
         for offer in self._offers:
--- a/src/gapdrum/core/room_shares.py
+++ b/src/gapdrum/core/room_shares.py
@@ -31,7 +31,10 @@
 
 @attrs.define
 class QueueShare:
-    """The demand and policy of one queue, summed over all entries."""
+    """The demand of one queue, summed over all entries, and its policy.
+
+    A job of the queue may wait for ``patience_ms`` until it begins.
+    """
 
     queue: str
     priority: int
@@ -62,7 +65,7 @@
     queues: Mapping[str, QueueShare]
 
     def kept_from(self, name: str, capacity: int, used: Used) -> int:
-        """Return how much of a runner's free room is reserved from a queue."""
+        """Return how much of a runner's free room a queue may not use, for others' sake."""
         own = self.queues.get(name)
         if own is None:
             return 0
@@ -137,7 +140,7 @@
         self._update_shares(now_ms)
 
     def kept(self, upstream: str, capacity: int, used: Used, now_ms: int) -> dict[str, int]:
-        """Return how much of a runner's free room is reserved from each queue, if any."""
+        """Return how much of a runner's free room each queue may not use, where any is reserved."""
         shares = self._shares(upstream, now_ms)
         if shares is None or capacity <= 0:
             return {}
@@ -145,7 +148,7 @@
         return {name: kept for name, kept in rows.items() if kept}
 
     def kept_from(self, upstream: str, queue: str, capacity: int, used: Used, now_ms: int) -> int:
-        """Return how much of a runner's free room is reserved from one queue."""
+        """Return how much of a runner's free room one queue may not use."""
         shares = self._shares(upstream, now_ms)
         return shares.kept_from(queue, capacity, used) if shares and capacity > 0 else 0
 
--- a/src/gapdrum/core/subsets.py
+++ b/src/gapdrum/core/subsets.py
@@ -8,13 +8,13 @@
 import attrs
 
 # How many reachable entries an agent serves, half of them in its own zone. With five agents per
-# entry, as in large fleets, an entry sees 20 runners: enough to find room for a wide job, few
-# enough that entries seldom compete for the same room. Six entries per agent cost a third more
-# messages and refused orders, without a gain.
+# entry, as in large fleets, an entry sees 20 agents and their runners: enough to find room for a
+# wide job, few enough that entries seldom compete for the same room. Six entries per agent cost a
+# third more messages and refused orders, without a gain.
 ENTRIES_PER_AGENT = 4
 # How many further entries an agent in an open zone serves that are in drained zones. With three
-# zones these entries lose 11 of the 23 agents that serve them, and get as many back; otherwise
-# their callers are served worse than others.
+# zones an entry in a drained one loses the agents of its zone, 11 of the 23 that serve it, and gets
+# as many back; otherwise its callers are served worse than others.
 EXTRA_DRAINED_ENTRIES = 1
 PERMILLE = 1_000
 HASH_BYTES = 8
--- a/src/gapdrum/core/zone_drains.py
+++ b/src/gapdrum/core/zone_drains.py
@@ -9,7 +9,7 @@
 
 @attrs.define
 class ZoneDrains:
-    """The drained zones as of a version of the operators' table, which only increases.
+    """The drained zones as of a version of the operators' table of them, which only increases.
 
     An older version, such as a stale read or a late message, is ignored. Until a version is known,
     every zone counts as closed: a process that starts must not begin work in a zone that was
