--- a/src/gapdrum/decisions.py
+++ b/src/gapdrum/decisions.py
@@ -1,4 +1,4 @@
-"""The record of decisions: each with a reason code and the figures it was made on."""
+"""Records decisions, each with a reason code and the numbers that it is based on."""
 
 from collections import OrderedDict
 
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class Figure:
-    """A named number that a decision was made on; the unit is part of the name."""
+    """A named number that a decision is based on; the name includes the unit."""
 
     name: str
     value: int
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class Decision:
-    """One decision: what was decided about which subject, why, when, on what figures."""
+    """One decision: its subject, reason code, time, and the numbers that it is based on."""
 
     time_wall_ms: int
     job_id: str
@@ -32,7 +32,7 @@
 
 
 class DecisionLog:
-    """Recent decisions by job, in memory, and those not yet written to the journal."""
+    """Keeps recent decisions by job in memory, and those not yet written to the journal."""
 
     def __init__(self, entry_id: str) -> None:
         self._entry_id = entry_id
@@ -57,13 +57,13 @@
             wall_ms, job_id, task, code, subject, settings_version, self._entry_id, listed
         )
         self._unwritten.append(decision)
-        kept = self._by_job.get(job_id)
-        if kept is None:
-            kept = self._by_job[job_id] = []
-        if len(kept) >= MAX_PER_JOB:
+        recorded = self._by_job.get(job_id)
+        if recorded is None:
+            recorded = self._by_job[job_id] = []
+        if len(recorded) >= MAX_PER_JOB:
             self.dropped += 1
             return
-        kept.append(decision)
+        recorded.append(decision)
         self._count += 1
         while self._count > MAX_DECISIONS:
             _job_id, oldest = self._by_job.popitem(last=False)
@@ -74,11 +74,11 @@
         return list(self._by_job.get(job_id, ()))
 
     def take_unwritten(self) -> list[Decision]:
-        """Return the decisions since the last call, for the journal."""
-        taken = self._unwritten
+        """Return and clear the decisions that are not yet written to the journal."""
+        unwritten = self._unwritten
         self._unwritten = []
-        return taken
+        return unwritten
 
     def put_back(self, decisions: list[Decision]) -> None:
-        """Keep decisions whose journal write failed, for the next one."""
+        """Return decisions whose journal write failed, so that the next write includes them."""
         self._unwritten = decisions + self._unwritten
--- a/src/gapdrum/journal.py
+++ b/src/gapdrum/journal.py
@@ -1,8 +1,8 @@
-"""The journal: decisions and answers written to the object store in batches.
+"""The journal: decisions and answers, written to the object store in batches.
 
-It is what remains when an entry is replaced.  Object names start with the
-entry's life and carry the time of writing, so that a reader finds the batches
-of an owner without an index.
+The journal survives the replacement of an entry.  Object keys start with the
+entry's incarnation and contain the time of writing, so that a reader finds the
+batches of an owner without an index.
 """
 
 import json
@@ -21,6 +21,7 @@
 FLUSH_INTERVAL_MS = 1_000
 MAX_BATCH_ROWS = 20_000
 MAX_UNWRITTEN_ANSWERS = 20_000
+# Batches are searched from EARLY_MS before the creation of a job to LATE_MS after it.
 EARLY_MS = 5_000
 LATE_MS = 150_000
 
@@ -34,7 +35,7 @@
 
 
 class Journal:
-    """Writes this entry's batches and reads those of others."""
+    """Writes this entry's batches and reads those of all entries."""
 
     def __init__(
         self, owner: Owner, committer: Committer, decisions: DecisionLog, timers: Timers
@@ -48,12 +49,12 @@
         self._flushing = False
 
     def add_answer(self, answer: Answer) -> None:
-        """Keep an answer for the next batch."""
+        """Add an answer to the next batch."""
         self._answers.append(answer)
         del self._answers[:-MAX_UNWRITTEN_ANSWERS]
 
     async def flush(self) -> bool:
-        """Write what has gathered; return False if the store did not take it."""
+        """Write a batch; return False if the store rejected it or a write is in progress."""
         if self._flushing:
             return False
         decisions = self._decisions.take_unwritten()
@@ -74,7 +75,7 @@
             self._flushing = False
 
     async def find(self, owner: Owner, job_id: str, created_wall_ms: int) -> JournalBatch:
-        """Return all that a life of an entry wrote about a job; raises StoreError."""
+        """Return all that an incarnation of an entry wrote about a job; raises StoreError."""
         keys = await self._committer.call(self._committer.client.list_objects, _prefix(owner))
         earliest_ms = created_wall_ms - EARLY_MS
         latest_ms = created_wall_ms + LATE_MS
--- a/src/gapdrum/metrics.py
+++ b/src/gapdrum/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of a process, for prometheus_client, and the count of messages by type."""
+"""The metrics of a process, registered with prometheus_client, and message counts by type."""
 
 from collections import Counter
 
@@ -11,13 +11,13 @@
 
 
 class MessageCollector:
-    """Exposes the plain counters that the streams keep."""
+    """Exposes the message counters that the streams update."""
 
     def __init__(self, metrics: "Metrics") -> None:
         self._metrics = metrics
 
     def collect(self):
-        """Yield the message counters at the time of a scrape."""
+        """Yield the message counters at a scrape."""
         tables = (
             ("gapdrum_messages_sent", "Messages sent by type", self._metrics.sent),
             ("gapdrum_messages_received", "Messages received by type", self._metrics.received),
@@ -31,7 +31,7 @@
 
 
 class Metrics:
-    """All metrics of one process, in a registry of its own."""
+    """All metrics of one process, in a separate registry."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
--- a/src/gapdrum/process_metrics.py
+++ b/src/gapdrum/process_metrics.py
@@ -1,7 +1,7 @@
 """Counters and latency histograms of a process, in the text format of Prometheus.
 
-Counting is plain arithmetic; the library that writes the format is loaded when somebody asks,
-as it takes longer to load than the rest of a program takes to start.
+Events are counted without a library; ``prometheus_client`` is imported at the first scrape, as
+its import takes longer than the rest of a program's start.
 """
 
 from bisect import bisect_left
@@ -18,19 +18,19 @@
 
 
 @attrs.define
-class Latency:
-    """How often a duration fell below each of ``BOUNDS_MS``."""
+class LatencyHistogram:
+    """Counts durations by bucket; the upper bounds are ``BOUNDS_MS``."""
 
     counts: list[int] = attrs.Factory(lambda: [0] * (len(BOUNDS_MS) + 1))
     sum_ms: int = 0
 
-    def note(self, duration_ms: int) -> None:
+    def observe(self, duration_ms: int) -> None:
         """Count one duration."""
         self.counts[bisect_left(BOUNDS_MS, duration_ms)] += 1
         self.sum_ms += duration_ms
 
     def buckets(self) -> list[tuple[str, int]]:
-        """Return the cumulated counts by upper bound in seconds."""
+        """Return the cumulative counts by upper bound in seconds."""
         rows = []
         total = 0
         bounds = [str(bound / MS_PER_S) for bound in BOUNDS_MS] + ["+Inf"]
@@ -41,31 +41,31 @@
 
 
 class ProcessMetrics:
-    """All figures of one process.
+    """All metrics of one process.
 
-    Gauges are functions that are called at a scrape::
+    Gauges are functions that are called at each scrape::
 
         measures.gauges["open_jobs"] = lambda: len(dispatch.jobs)
     """
 
     def __init__(self) -> None:
         self.events: Counter[tuple[str, str]] = Counter()
-        self.latencies: dict[str, Latency] = {}
+        self.latencies: dict[str, LatencyHistogram] = {}
         self.gauges: dict[str, Callable[[], float]] = {}
-        # Figures of each queue: their name, the queue, the value.
+        # Gauges of each queue, as tuples of name, queue and value.
         self.queue_gauges: Callable[[], Iterable[tuple[str, str, int]]] = tuple
         self.counters: dict[str, Callable[[], float]] = {}
-        self.messages: dict[str, Counter[str]] = {}  # of streams, by direction and kind
+        self.messages: dict[str, Counter[str]] = {}  # messages on streams, by direction and kind
 
     def observe_latency(self, name: str, duration_ms: int) -> None:
         """Count one duration under a name such as ``job_ended_total``."""
         latency = self.latencies.get(name)
         if latency is None:
-            latency = self.latencies[name] = Latency()
-        latency.note(duration_ms)
+            latency = self.latencies[name] = LatencyHistogram()
+        latency.observe(duration_ms)
 
     def expose(self) -> bytes:
-        """Return all figures as text."""
+        """Return all metrics in the text format."""
         from prometheus_client import CollectorRegistry, generate_latest
 
         registry = CollectorRegistry()
@@ -73,7 +73,7 @@
         return generate_latest(registry)
 
     def collect(self):
-        """Yield the metric families at the time of a scrape, for the library."""
+        """Yield the metric families at a scrape; the library calls this."""
         from prometheus_client.core import (
             CounterMetricFamily,
             GaugeMetricFamily,
--- a/src/gapdrum/timelines.py
+++ b/src/gapdrum/timelines.py
@@ -1,4 +1,4 @@
-"""Joins the log lines of several processes into the timeline of one request, and sums it up."""
+"""Merges log lines of several processes into the timeline of one request and summarizes it."""
 
 import json
 from collections.abc import Iterable
@@ -7,7 +7,7 @@
 
 import attrs
 
-# Events without a request that may explain one: beliefs about what the request depended on.
+# Events without a request that may explain one: state changes of what the request depends on.
 CONTEXT_EVENTS = frozenset(
     {
         "agent_disconnected",
@@ -26,14 +26,14 @@
         "store_regained",
     }
 )
-# How long before a request's first line a change of belief may still explain it.
+# How long before a request's first line a state change may still explain it.
 CONTEXT_BEFORE_MS = 1_000
-RUNNER_EVENTS = ("runner_",)
+RUNNER_EVENT_PREFIXES = ("runner_",)
 
 
 @attrs.frozen
 class LogLine:
-    """One decision or change of belief of one process."""
+    """One logged decision or state change of one process."""
 
     t_ms: int
     instance: str
@@ -41,14 +41,14 @@
     fields: dict[str, Any]
 
     def render(self, begin_ms: int) -> str:
-        """Return the line for people, with its time since the request began."""
+        """Return the line as text for people, with the time since the request began."""
         fields = " ".join(f"{name}={value}" for name, value in self.fields.items())
         return f"{self.t_ms - begin_ms:>7} ms  {self.instance:<24} {self.event} {fields}".rstrip()
 
 
 @attrs.frozen
 class Timeline:
-    """All that is known of one request, in order of time, and what it comes to."""
+    """All log lines that concern one request, in order of time, and a summary."""
 
     request: str
     lines: tuple[LogLine, ...]
@@ -62,7 +62,7 @@
 
 
 def read_lines(paths: Iterable[Path]) -> list[LogLine]:
-    """Return the log lines in files; what is no line of a gapdrum process is passed over."""
+    """Return the log lines in files; other lines are skipped."""
     lines = []
     for path in paths:
         with path.open(errors="replace") as file:
@@ -71,7 +71,7 @@
 
 
 def _parse(text: str) -> LogLine | None:
-    """Return the line in a text; collectors may have put their own words before it."""
+    """Parse a line of a file; a log collector may have put a prefix before the JSON object."""
     begin = text.find("{")
     if begin < 0:
         return None
@@ -86,9 +86,9 @@
 
 
 def build_timeline(request: str, lines: list[LogLine]) -> Timeline:
-    """Return the timeline of a request with the beliefs that bore on it.
+    """Return the timeline of a request, with the state changes that may have affected it.
 
-    A request is named by its job, or by the name that its caller gave to one call.
+    ``request`` is the identifier of a job, or the one that the caller gave to a call.
     """
     calls = [line for line in lines if line.fields.get("call") == request]
     if request and calls:
@@ -118,20 +118,20 @@
 def _is_context(line: LogLine, instances: set[str], runners: set[str]) -> bool:
     if line.event not in CONTEXT_EVENTS or "request" in line.fields:
         return False
-    if line.event.startswith(RUNNER_EVENTS):
+    if line.event.startswith(RUNNER_EVENT_PREFIXES):
         return line.fields.get("runner") in runners
     return line.instance in instances
 
 
 def _summarize(own: list[LogLine]) -> list[str]:
-    """Return sentences that say how the request went and what it lost time to."""
+    """Return sentences on the outcome of the request and on the causes of delays."""
     sentences = []
     for line in own:
         describe = _OUTCOMES.get(line.event)
         if describe is not None:
             sentences.append(describe(line))
     if not sentences:
-        sentences.append(f"no end is logged; the last word is {own[-1].event}")
+        sentences.append(f"no end is logged; the last event is {own[-1].event}")
     sentences.extend(_describe_delays(own))
     return sentences
 
@@ -159,9 +159,9 @@
 
 def _describe_end(line: LogLine) -> str:
     fields = line.fields
-    over_ms = fields["total_ms"] - fields["objective_ms"]
-    pace = f"{over_ms} ms over" if over_ms > 0 else "within"
-    return f"ended {fields['state']} after {fields['total_ms']} ms, {pace} its objective"
+    overrun_ms = fields["total_ms"] - fields["objective_ms"]
+    overrun = f"{overrun_ms} ms over" if overrun_ms > 0 else "within"
+    return f"ended {fields['state']} after {fields['total_ms']} ms, {overrun} its objective"
 
 
 _OUTCOMES = {
@@ -175,12 +175,12 @@
     "job_taken_over": lambda line: (
         f"taken over by {line.instance} with epoch {line.fields['epoch']}"
     ),
-    "job_known": lambda line: f"handed in again at {line.instance}",
+    "job_known": lambda line: f"submitted again at {line.instance}",
     "request_rejected": lambda line: (
         f"rejected with {line.fields['status']}: {line.fields['reason']}"
     ),
     "job_dropped": lambda line: (
-        f"let go by {line.instance}: {line.fields['reason']}"
+        f"dropped by {line.instance}: {line.fields['reason']}"
         if line.fields["reason"] != "ended"
         else f"answered at {line.instance}"
     ),
--- a/src/gapdrum/tracked_jobs.py
+++ b/src/gapdrum/tracked_jobs.py
@@ -1,4 +1,4 @@
-"""What an entry keeps of each job that it was asked about."""
+"""The state that an entry keeps for each job that callers have submitted or queried."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 @attrs.define(eq=False)
 class TrackedJob:
-    """A job this entry knows: the future of its answer, and what may be asked meanwhile."""
+    """A job that this entry tracks: the future of its answer, and its progress."""
 
     job_id: str
     team: str
@@ -23,7 +23,7 @@
     deadline: asyncio.TimerHandle | None = None
 
     def release(self) -> None:
-        """Let go of the job and its timer: it is answered, or another entry has it."""
+        """Release the job and its timer, once it is answered or owned by another entry."""
         self.open_job = None
         if self.deadline is not None:
             self.deadline.cancel()
