--- a/src/gapdrum/backoff.py
+++ b/src/gapdrum/backoff.py
@@ -1,4 +1,4 @@
-"""Pauses between the tries of a call that fails."""
+"""Exponential backoff between the attempts of a failing call."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 
 @attrs.define
 class Backoff:
-    """A pause that doubles with each failure in a row, up to a bound.
+    """A pause that doubles with each consecutive failure, up to a maximum.
 
     ::
 
@@ -24,12 +24,12 @@
     _failures: int = 0
 
     async def pause(self) -> None:
-        """Wait after a failure."""
+        """Wait after a failed attempt."""
         pause_ms = min(self.max_ms, self.first_ms << self._failures)
         if pause_ms < self.max_ms:
             self._failures += 1
         await asyncio.sleep(pause_ms / MS_PER_S)
 
     def reset(self) -> None:
-        """Begin with the first pause again, after a success."""
+        """Return to the first pause, after a success."""
         self._failures = 0
--- a/src/gapdrum/commits.py
+++ b/src/gapdrum/commits.py
@@ -1,8 +1,8 @@
 """Group commit: many conditional writes share one transaction, under a write budget.
 
-Each write is settled on its own.  A lost answer is settled by reading the
-row back: the values carry the writer's identity, so an equal value proves
-that the write took effect.
+The outcome of each write is determined separately.  After a lost response the
+row is read back: values contain the writer's identity, so an equal value
+proves that the write took effect.
 """
 
 import asyncio
@@ -19,14 +19,14 @@
 MAX_WRITES_PER_TRANSACTION = 100
 MAX_TRANSACTIONS_AT_ONCE = 4
 STORE_THREADS = 8
-SETTLE_PAUSE_MS = 100
+RETRY_PAUSE_MS = 100
 OUTAGE_AFTER_FAILURES = 3
 BURST_S = 0.5
 
 
 @attrs.define(eq=False)
 class PendingWrite:
-    """A write that waits for its transaction, and the future of its outcome."""
+    """A write that waits for its transaction, with a future for its outcome."""
 
     write: TableWrite
     deadline_ms: int
@@ -35,7 +35,7 @@
 
 
 class Committer:
-    """Asynchronous access to the store with group commit, budget and settlement.
+    """Asynchronous access to the store: group commit, a write budget and read-back.
 
     ::
 
@@ -49,16 +49,16 @@
         self.counts: Counter = Counter()
         self._threads = ThreadPoolExecutor(STORE_THREADS, "store")
         self._waiting: list[PendingWrite] = []
-        self._running = 0
+        self._active_transactions = 0
         self._failures_in_row = 0
 
     @property
     def is_down(self) -> bool:
-        """Tell whether the last calls all failed."""
+        """Return whether the last ``OUTAGE_AFTER_FAILURES`` calls or more all failed."""
         return self._failures_in_row >= OUTAGE_AFTER_FAILURES
 
     async def call(self, function, *arguments):
-        """Run a blocking store call in a thread; its errors count towards ``is_down``."""
+        """Run a blocking store call in a thread; failures count towards ``is_down``."""
         loop = asyncio.get_running_loop()
         try:
             result = await loop.run_in_executor(self._threads, function, *arguments)
@@ -78,46 +78,46 @@
         return await self.call(self.client.read, keys)
 
     async def commit(self, write: TableWrite, timeout_ms: int) -> None:
-        """Apply one write; returns once it has taken effect.
+        """Apply one write; return once it has taken effect.
 
-        Raises ConditionFailedError if it can't, StoreBusyError or StoreError
-        if it certainly did not, and StoreOutcomeUnknownError if that could
-        not be settled in time.
+        Raises ConditionFailedError if its condition does not hold, StoreBusyError
+        or StoreError if it certainly had no effect, and StoreOutcomeUnknownError
+        if its outcome could not be determined in time.
         """
         done = asyncio.get_running_loop().create_future()
         deadline_ms = self.timers.now_ms() + timeout_ms
         self._waiting.append(PendingWrite(write, deadline_ms, done))
-        self._pump()
+        self._start_transactions()
         await done
 
     async def put_object(self, key: str, content: bytes) -> None:
-        """Store an object; an object's content never depends on how often it is put."""
+        """Store an object; a repeated put of the same content is idempotent."""
         if not self.budget.take(1, self.timers.now_ms()):
             raise StoreBusyError("the write budget is spent")
         self.counts["writes"] += 1
         await self.call(self.client.put_object, key, content)
 
-    def _pump(self) -> None:
-        """Start transactions while there are writes, budget and free connections."""
-        while self._waiting and self._running < MAX_TRANSACTIONS_AT_ONCE:
+    def _start_transactions(self) -> None:
+        """Start transactions while writes, budget and free transaction slots are left."""
+        while self._waiting and self._active_transactions < MAX_TRANSACTIONS_AT_ONCE:
             now_ms = self.timers.now_ms()
             if not self.budget.take(1, now_ms):
-                self.timers.call_after(self.budget.wait_ms(1, now_ms), self._pump)
+                self.timers.call_after(self.budget.wait_ms(1, now_ms), self._start_transactions)
                 return
             batch = self._take_batch()
-            self._running += 1
+            self._active_transactions += 1
             asyncio.get_running_loop().create_task(self._run(batch))
 
     def _take_batch(self) -> list[PendingWrite]:
-        """Take writes of distinct keys, oldest first."""
+        """Remove writes of distinct keys from the queue, oldest first."""
         batch: dict[str, PendingWrite] = {}
-        left = []
+        remaining = []
         for pending in self._waiting:
             if len(batch) < MAX_WRITES_PER_TRANSACTION and pending.write.key not in batch:
                 batch[pending.write.key] = pending
             else:
-                left.append(pending)
-        self._waiting = left
+                remaining.append(pending)
+        self._waiting = remaining
         return list(batch.values())
 
     async def _run(self, batch: list[PendingWrite]) -> None:
@@ -128,25 +128,27 @@
             for pending in batch:
                 _resolve(pending)
         except ConditionFailedError as error:
-            self._settle_conditions(batch, error)
+            self._handle_failed_conditions(batch, error)
         except StoreOutcomeUnknownError as error:
-            await self._settle_unknown(batch, error)
+            await self._resolve_unknown(batch, error)
         except StoreError as error:
             self._retry_or_fail(batch, error)
         finally:
-            self._running -= 1
-            self._pump()
+            self._active_transactions -= 1
+            self._start_transactions()
 
-    def _settle_conditions(self, batch: list[PendingWrite], error: ConditionFailedError) -> None:
-        """Fail the writes that can't apply; the others were rolled back and go again."""
+    def _handle_failed_conditions(
+        self, batch: list[PendingWrite], error: ConditionFailedError
+    ) -> None:
+        """Fail writes whose condition failed; queue the others, which were rolled back, again."""
         for pending in batch:
             if pending.write.key in error.rows:
-                _settle_by_row(pending, error.rows[pending.write.key])
+                _resolve_by_row(pending, error.rows[pending.write.key])
             else:
                 self._waiting.append(pending)
 
-    async def _settle_unknown(self, batch: list[PendingWrite], error: StoreError) -> None:
-        """Read the rows back to learn what took effect."""
+    async def _resolve_unknown(self, batch: list[PendingWrite], error: StoreError) -> None:
+        """Read the rows back to determine which writes took effect."""
         self.counts["answers_lost"] += 1
         for pending in batch:
             pending.uncertain = True
@@ -155,28 +157,28 @@
         except StoreError:
             self._retry_or_fail(batch, error)
             return
-        open_writes = []
+        unresolved = []
         for pending in batch:
-            if not _settle_by_row(pending, rows[pending.write.key]):
-                open_writes.append(pending)
-        self._retry_or_fail(open_writes, error)
+            if not _resolve_by_row(pending, rows[pending.write.key]):
+                unresolved.append(pending)
+        self._retry_or_fail(unresolved, error)
 
     def _retry_or_fail(self, batch: list[PendingWrite], error: StoreError) -> None:
-        """Send conditional writes again after a pause; fail those that are out of time.
+        """Retry conditional writes after a pause; fail those that would miss their deadline.
 
-        Repeating is safe: a write that did take effect no longer meets its
-        own condition, and is then recognised by its value.
+        A retry is safe: if a write did take effect, its condition no longer
+        holds, and the write is recognised by its value.
         """
         now_ms = self.timers.now_ms()
         for pending in batch:
-            if now_ms + SETTLE_PAUSE_MS < pending.deadline_ms and not self.is_down:
-                self.timers.call_after(SETTLE_PAUSE_MS, lambda p=pending: self._again(p))
+            if now_ms + RETRY_PAUSE_MS < pending.deadline_ms and not self.is_down:
+                self.timers.call_after(RETRY_PAUSE_MS, lambda p=pending: self._requeue(p))
                 continue
             _fail(pending, error)
 
-    def _again(self, pending: PendingWrite) -> None:
+    def _requeue(self, pending: PendingWrite) -> None:
         self._waiting.append(pending)
-        self._pump()
+        self._start_transactions()
 
 
 def _resolve(pending: PendingWrite) -> None:
@@ -185,7 +187,7 @@
 
 
 def _fail(pending: PendingWrite, error: StoreError) -> None:
-    """Fail a write, as unsettled if any of its tries may have taken effect."""
+    """Fail a write; its outcome is unknown if an earlier attempt may have taken effect."""
     if pending.done.done():
         return
     if pending.uncertain:
@@ -194,8 +196,8 @@
         pending.done.set_exception(StoreError(error.message))
 
 
-def _settle_by_row(pending: PendingWrite, row: Row | None) -> bool:
-    """Resolve a write by the row as it is; return False if it may still apply."""
+def _resolve_by_row(pending: PendingWrite, row: Row | None) -> bool:
+    """Resolve a write by the current row; return False if the write may still be applied."""
     write = pending.write
     if row is not None and row.value == write.value:
         _resolve(pending)
--- a/src/gapdrum/store.py
+++ b/src/gapdrum/store.py
@@ -21,7 +21,7 @@
 
 @attrs.frozen
 class Row:
-    """A row of the table; each write raises its version by one, the first is 1."""
+    """A row of the table; each write increments its version; the first version is 1."""
 
     key: str
     version: int
@@ -32,8 +32,9 @@
 class TableWrite:
     """One conditional write: it takes effect only at ``expected_version``.
 
-    ``ABSENT`` expects that there is no row, ``ANY_VERSION`` expects nothing.
-    A ``value`` of None deletes.  The row may be dropped after ``ttl_ms``.
+    ``ABSENT`` requires that the row does not exist; ``ANY_VERSION`` is
+    unconditional.  A ``value`` of None deletes the row.  The store may drop the
+    row after ``ttl_ms``.
     """
 
     key: str
@@ -43,24 +44,24 @@
 
 
 class ConditionFailedError(GapdrumError):
-    """A transaction had no effect: these rows were not at the expected version.
+    """A transaction had no effect: some rows were not at the expected version.
 
-    ``rows`` maps each failed key to the row as it is, None if there is none.
+    ``rows`` maps the key of each such row to its current row, None if absent.
     """
 
     code = "condition_failed"
     http_status = 409
 
     def __init__(self, rows: dict[str, Row | None]) -> None:
-        super().__init__("a condition did not hold")
+        super().__init__("a row was not at the expected version")
         self.rows = rows
 
 
 class StoreClient:
-    """Blocking calls to the store; each raises StoreError if it can't be asked.
+    """Blocking calls to the store; each raises StoreError if it fails.
 
-    A write whose answer is lost raises StoreOutcomeUnknownError.  Callers
-    settle it by reading back (see ``commits``), never by a blind repeat.
+    A write whose response is lost raises StoreOutcomeUnknownError.  Callers read
+    the row back to determine the outcome (see ``commits``) and never retry blindly.
     """
 
     def __init__(self, base_url: str) -> None:
@@ -68,7 +69,7 @@
         self._pool = urllib3.PoolManager(maxsize=POOL_SIZE, retries=False)
 
     def transact(self, writes: list[TableWrite]) -> None:
-        """Apply all writes or none; raises ConditionFailedError with the rows that differ."""
+        """Apply all writes or none; raises ConditionFailedError if a row has another version."""
         body = {"operations": [attrs.asdict(write) for write in writes]}
         response = self._write("POST", "/table/transact", json.dumps(body).encode())
         if response.status == 409:
@@ -77,22 +78,22 @@
             raise ConditionFailedError(rows)
 
     def read(self, keys: list[str]) -> dict[str, Row | None]:
-        """Return the rows of the keys, None for those that are absent."""
-        document = self._ask("POST", "/table/read", json.dumps({"keys": keys}).encode())
+        """Return the rows of the keys; None for absent rows."""
+        document = self._fetch_json("POST", "/table/read", json.dumps({"keys": keys}).encode())
         rows = [_read_row(item) for item in document["rows"]]
         return dict(zip(keys, rows, strict=True))
 
     def scan(self, prefix: str) -> list[Row]:
         """Return all rows whose key starts with the prefix, in key order."""
-        document = self._ask("GET", f"/table/scan?prefix={quote(prefix)}", b"")
+        document = self._fetch_json("GET", f"/table/scan?prefix={quote(prefix)}", b"")
         return [Row(**item) for item in document["rows"]]
 
     def put_object(self, key: str, content: bytes) -> None:
-        """Store an object under a key, replacing what was there."""
+        """Store an object under a key, replacing an existing one."""
         self._write("PUT", f"/objects/{quote(key)}", content)
 
     def get_object(self, key: str) -> bytes | None:
-        """Return an object's content, None if there is none."""
+        """Return an object's content, or None if it does not exist."""
         response = self._request("GET", f"/objects/{quote(key)}", b"", READ_TIMEOUT_S)
         if response.status == 404:
             return None
@@ -101,9 +102,9 @@
 
     def list_objects(self, prefix: str) -> list[str]:
         """Return the keys of all objects under a prefix, in order."""
-        return self._ask("GET", f"/objects?prefix={quote(prefix)}", b"")["keys"]
+        return self._fetch_json("GET", f"/objects?prefix={quote(prefix)}", b"")["keys"]
 
-    def _ask(self, method: str, path: str, body: bytes) -> Document:
+    def _fetch_json(self, method: str, path: str, body: bytes) -> Document:
         response = self._request(method, path, body, READ_TIMEOUT_S)
         _check_read(response)
         return json.loads(response.data)
--- a/src/gapdrum/timers.py
+++ b/src/gapdrum/timers.py
@@ -1,7 +1,7 @@
-"""The timer service: clocks and timers that the other parts subscribe to.
+"""Clocks and timers of a process.
 
-Time is read and waited for here only, so that the decision core can be driven
-by a manual clock.  All durations are integer milliseconds.
+The decision core gets the time only from here, so that tests can drive it by a
+manual clock.  All durations are integer milliseconds.
 """
 
 import asyncio
@@ -12,13 +12,13 @@
 from gapdrum.task_set import TaskSet
 
 MS_PER_S = 1000
-MAX_PHASE_MS = 1_000  # the longest interval of what all processes do
+MAX_PHASE_MS = 1_000  # the longest interval of periodic work that all processes have
 
 
 class Timers:
     """Clocks and timers on the running asyncio loop.
 
-    Subscribe a callable for a period, or for one call later::
+    Subscribe a periodic callback, or schedule a single call::
 
         timers = Timers()
         timers.subscribe(1000, renew_lease)
@@ -26,44 +26,44 @@
     """
 
     def __init__(self) -> None:
-        # Told of what a subscriber lets pass.
+        # Called with each exception that a subscriber raises.
         self.on_error: Callable[[Exception], None] = _log_error
         self._tasks = TaskSet()
-        # Processes that started together must not all do the same at the same time.
+        # A random phase: processes that start together must not do periodic work simultaneously.
         self._phase_ms = random.randrange(MAX_PHASE_MS)
 
     @staticmethod
     def now_ms() -> int:
-        """Return this process's steady clock; it has no meaning elsewhere.
+        """Return a monotonic clock; its values have no meaning on other instances.
 
-        It counts the time for which the instance was suspended, so that whoever wakes knows that
-        leases and grants have ended: others have counted on.
+        The clock includes the time during which the instance was suspended, so that a resumed
+        process detects that its leases and grants have expired.
         """
         return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000_000
 
     @staticmethod
     def monotonic_ms() -> int:
-        """Return a steady clock that stands still while the instance is suspended.
+        """Return a monotonic clock that stops while the instance is suspended.
 
-        It never runs ahead of a clock beside it that may have stood still, too: the runner's.
+        It never runs ahead of the runner's clock, which may stop during a suspension, too.
         """
         return time.monotonic_ns() // 1_000_000
 
     @staticmethod
     def wall_ms() -> int:
-        """Return the Unix time; only for records, never for decisions on leases."""
+        """Return the Unix time; only for records, never for lease decisions."""
         return time.time_ns() // 1_000_000
 
     def subscribe(self, interval_ms: int, callback: Callable[[], object]) -> None:
         """Call back every ``interval_ms``; a coroutine function is awaited.
 
-        What has the same interval, or a multiple of it, comes due in the same turn of the loop, so
-        that what it sends to a peer goes out in one write.
+        Callbacks with the same interval, or multiples of it, run in the same iteration of the event
+        loop, so that their messages to a peer leave in one write.
         """
         self._tasks.spawn(self._repeat(interval_ms, callback))
 
     def left_ms(self, interval_ms: int) -> int:
-        """Return how long it is until the next multiple of an interval, on this process's grid."""
+        """Return the time until the next multiple of an interval, shifted by the random phase."""
         return interval_ms - (self.now_ms() + self._phase_ms) % interval_ms
 
     def call_after(self, delay_ms: int, callback: Callable[[], object]) -> asyncio.TimerHandle:
@@ -86,35 +86,35 @@
 
 
 def _log_error(error: Exception) -> None:
-    # Loading the library takes a tenth of a program's start.
+    # Imported here, as the import takes a tenth of a program's start.
     from loguru import logger
 
     logger.opt(exception=error).error("a periodic callback failed")
 
 
 class CoalescedCallback:
-    """Calls back once, at the next multiple of an interval after it was asked for.
+    """Coalesces requests into one callback at the next multiple of an interval.
 
-    Unlike a subscription it costs nothing while there is nothing to do, and those of several
-    parts come due together::
+    Unlike a subscription it costs nothing while idle, and callbacks with the same interval run
+    together::
 
         flush = CoalescedCallback(timers, 50, log.flush)
-        flush.ask()
-        flush.ask()     # still one call
+        flush.schedule()
+        flush.schedule()    # still one call
     """
 
     def __init__(self, timers: Timers, interval_ms: int, callback: Callable[[], object]) -> None:
         self._timers = timers
         self._interval_ms = interval_ms
         self._callback = callback
-        self._asked = False
+        self._scheduled = False
 
     def schedule(self) -> None:
-        """Call back at the end of the interval, unless that is already planned."""
-        if not self._asked:
-            self._asked = True
+        """Schedule the callback for the end of the interval, unless it is already scheduled."""
+        if not self._scheduled:
+            self._scheduled = True
             self._timers.call_after(self._timers.left_ms(self._interval_ms), self._run)
 
     def _run(self) -> None:
-        self._asked = False
+        self._scheduled = False
         self._callback()
