--- a/src/gapdrum/conversion.py
+++ b/src/gapdrum/conversion.py
@@ -1,4 +1,4 @@
-"""Turns plain JSON data into attrs classes and back, collecting every finding with its place."""
+"""Converts JSON data into attrs classes and back; reports all errors with their locations."""
 
 from typing import Any, TypeVar, get_origin
 
@@ -56,7 +56,7 @@
     for primitive in (int, float, bool, str):
         converter.register_structure_hook(primitive, _build_strict_hook(primitive))
     for union in (int | str, int | str | None):
-        converter.register_structure_hook(union, _take_setting_value)
+        converter.register_structure_hook(union, _structure_setting_value)
     converter.register_structure_hook_factory(_is_list, _build_list_hook)
     converter.register_structure_hook_factory(attrs.has, _build_object_hook)
     return converter
@@ -77,7 +77,7 @@
 
 
 def _require(plain: type, name: str, inner):
-    """Return a hook that takes only this plain type, as text and objects iterate, too."""
+    """Return a hook that accepts only ``plain``: strings and objects are iterable as well."""
 
     def hook(value: Any, target: Any) -> Any:
         if not isinstance(value, plain):
@@ -87,7 +87,7 @@
     return hook
 
 
-def _take_setting_value(value: Any, _type: type) -> int | str | None:
+def _structure_setting_value(value: Any, _type: type) -> int | str | None:
     if value is not None and type(value) not in (int, str):
         raise TypeError(f"expected int or str, got {type(value).__name__}")
     return value
--- a/src/gapdrum/operator_feed.py
+++ b/src/gapdrum/operator_feed.py
@@ -1,4 +1,4 @@
-"""Follows the operators' table in the platform's store by its feed of changes."""
+"""Follows the operators' table in the platform's store through its change feed."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,18 +12,18 @@
 from gapdrum.platform.rows import RowStore
 from gapdrum.timers import MS_PER_S, Timers
 
-# A feed that is cut silently is noticed this late; a change must be in force within 2 s of
-# the end of a cut, plus the 3 s that an instance has to be in contact again.
+# A silent interruption of the feed is detected after this time; a change must be in force within
+# 2 s after the interruption, plus the 3 s that an instance has to reconnect.
 FEED_WAIT_MS = 1_500
 READ_TIMEOUT_MS = 1_000
 RETRY_INTERVAL_MS = 200
-# The last answer is no older than this while the feed works: a wait, and the way of two calls.
-FOLLOWED_MS = FEED_WAIT_MS + 500
+# Maximum age of the last response while the feed works: a wait and the network time of two calls.
+MAX_RESPONSE_AGE_MS = FEED_WAIT_MS + 500
 
 
 @attrs.frozen
 class TableUpdate:
-    """Rows of the table as of a version: all that there are, or those that have changed."""
+    """Rows of the table as of a version: all rows, or those that have changed."""
 
     rows: tuple[Row, ...]
     version: int
@@ -31,12 +31,12 @@
 
 
 class OperatorFeed:
-    """Tells its subscribers what the table holds, and then each change.
+    """Sends its subscribers the content of the table, and then each change.
 
     ::
 
         feed = OperatorFeed(RowStore(boot.store), timers, log)
-        feed.subscribe(configuration.take)
+        feed.subscribe(configuration.apply_table)
         background.keep(feed.follow)
     """
 
@@ -44,29 +44,32 @@
         self._rows = rows
         self._timers = timers
         self._log = log
-        self._after: int | None = None
-        self._answered_ms: int | None = None
+        self._version: int | None = None
+        self._last_response_ms: int | None = None
         self.is_failing = False
         self._subscribers: list[Callable[[TableUpdate], None]] = []
 
-    def subscribe(self, take: Callable[[TableUpdate], None]) -> None:
-        """Call back with the whole table at first, and with each change after that."""
-        self._subscribers.append(take)
+    def subscribe(self, apply: Callable[[TableUpdate], None]) -> None:
+        """Call ``apply`` with the whole table at first, and then with each change."""
+        self._subscribers.append(apply)
 
     @property
     def is_current(self) -> bool:
-        """Tell whether changes reach this process just now."""
-        answered_ms = self._answered_ms
-        return answered_ms is not None and self._timers.now_ms() - answered_ms < FOLLOWED_MS
+        """Return whether changes currently reach this process."""
+        last_response_ms = self._last_response_ms
+        return (
+            last_response_ms is not None
+            and self._timers.now_ms() - last_response_ms < MAX_RESPONSE_AGE_MS
+        )
 
     async def follow(self) -> None:
-        """Follow the table for ever."""
+        """Follow the table until cancelled."""
         while True:
             try:
-                await self._step()
+                await self._read_next()
             except StoreHistoryGoneError:
-                self._log.write("operator_feed_restarted", after=self._after)
-                self._after = None
+                self._log.write("operator_feed_restarted", after=self._version)
+                self._version = None
             except StoreError as error:
                 if not self.is_failing:
                     self._log.write("operator_feed_lost", code=error.code)
@@ -74,18 +77,20 @@
                 await asyncio.sleep(RETRY_INTERVAL_MS / MS_PER_S)
             else:
                 if self.is_failing:
-                    self._log.write("operator_feed_regained", version=self._after)
+                    self._log.write("operator_feed_regained", version=self._version)
                 self.is_failing = False
 
-    async def _step(self) -> None:
-        if self._after is None:
-            self._tell(await self._read_all())
+    async def _read_next(self) -> None:
+        if self._version is None:
+            self._publish(await self._read_all())
             return
-        changes = await self._rows.watch(OPERATOR_TABLE, self._after, FEED_WAIT_MS)
-        self._tell(TableUpdate(changes.rows, max(self._after, changes.version), is_snapshot=False))
+        changes = await self._rows.watch(OPERATOR_TABLE, self._version, FEED_WAIT_MS)
+        self._publish(
+            TableUpdate(changes.rows, max(self._version, changes.version), is_snapshot=False)
+        )
 
     async def _read_all(self) -> TableUpdate:
-        """Read the whole table, page by page; what changes meanwhile comes by the feed."""
+        """Read the whole table, page by page; the feed delivers changes since the first page."""
         page = await self._rows.read(OPERATOR_TABLE, "", READ_TIMEOUT_MS)
         rows = list(page.rows)
         version = page.version
@@ -95,8 +100,8 @@
             rows.extend(page.rows)
         return TableUpdate(tuple(rows), version, is_snapshot=True)
 
-    def _tell(self, news: TableUpdate) -> None:
-        self._after = news.version
-        self._answered_ms = self._timers.now_ms()
-        for take in self._subscribers:
-            take(news)
+    def _publish(self, update: TableUpdate) -> None:
+        self._version = update.version
+        self._last_response_ms = self._timers.now_ms()
+        for apply in self._subscribers:
+            apply(update)
--- a/src/gapdrum/probes.py
+++ b/src/gapdrum/probes.py
@@ -1,4 +1,4 @@
-"""The endpoints that the platform and its balancer call: health, readiness, metrics."""
+"""Endpoints for the platform and its load balancer: health, readiness and metrics."""
 
 from collections.abc import Callable
 
@@ -9,7 +9,7 @@
 
 
 def add_probe_routes(router: Router, metrics: Metrics, is_ready: Callable[[], bool]) -> None:
-    """Register ``/healthz``, ``/readyz`` and ``/metrics``; they need no credentials."""
+    """Register ``/healthz``, ``/readyz`` and ``/metrics``; they require no credentials."""
 
     @router.route("GET", "/healthz")
     def show_health(_request: Request) -> Response:
--- a/src/gapdrum/structures.py
+++ b/src/gapdrum/structures.py
@@ -1,4 +1,4 @@
-"""Field helpers for attrs classes: bounded texts, counts and lists, checked on construction."""
+"""Field helpers for attrs classes: bounded strings, integers and lists, validated on creation."""
 
 from typing import Any
 
@@ -10,13 +10,13 @@
 
 
 def text_field(max_length: int = MAX_TEXT_LENGTH, **options: Any) -> Any:
-    """Return an attrs field that takes a string of at most ``max_length`` characters."""
+    """Return an attrs field that accepts a string of at most ``max_length`` characters."""
     checks = [validators.instance_of(str), validators.max_len(max_length)]
     return attrs.field(validator=checks, **options)
 
 
 def count_field(maximum: int = MAX_COUNT, minimum: int = 0, **options: Any) -> Any:
-    """Return an attrs field that takes an integer between ``minimum`` and ``maximum``."""
+    """Return an attrs field that accepts an integer between ``minimum`` and ``maximum``."""
 
     def check(_instance: object, attribute: attrs.Attribute, value: object) -> None:
         if type(value) is not int:
@@ -28,15 +28,15 @@
 
 
 def signed_field(bound: int = MAX_COUNT, **options: Any) -> Any:
-    """Return an attrs field that takes an integer of either sign, up to ``bound``."""
+    """Return an attrs field that accepts an integer from ``-bound`` to ``bound``."""
     return count_field(bound, -bound, **options)
 
 
 def rows_field(row_class: type, max_length: int, **options: Any) -> Any:
-    """Return an attrs field that takes a list of ``row_class``, or of its wire rows.
+    """Return an attrs field that accepts a list of ``row_class``, or of its encoded rows.
 
-    The wire carries each row as the list of its field values, so a list that
-    is not yet a ``row_class`` is turned into one.
+    On the wire a row is the list of its field values; such a list is converted
+    into a ``row_class``.
     """
 
     def convert(rows: Any) -> Any:
--- a/src/gapdrum/task_set.py
+++ b/src/gapdrum/task_set.py
@@ -1,4 +1,4 @@
-"""Asyncio tasks that nobody waits for."""
+"""Asyncio tasks that no caller awaits."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -6,7 +6,7 @@
 
 
 class TaskSet:
-    """Keeps tasks until they are done, as the event loop itself holds them only weakly.
+    """Keeps references to tasks until they are done, as the event loop holds only weak ones.
 
     ::
 
@@ -17,13 +17,13 @@
         self._tasks: set[asyncio.Task] = set()
 
     def spawn(self, steps: Coroutine[Any, Any, Any]) -> asyncio.Task:
-        """Run a coroutine to its end."""
+        """Run a coroutine until it finishes."""
         task = asyncio.get_running_loop().create_task(steps)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     def cancel(self) -> None:
-        """Cancel all that still runs."""
+        """Cancel all tasks that still run."""
         for task in self._tasks:
             task.cancel()
--- a/src/gapdrum/zone_watch.py
+++ b/src/gapdrum/zone_watch.py
@@ -1,4 +1,4 @@
-"""Learns from the operators' table which availability zones are drained."""
+"""Tracks which availability zones are drained, from the operators' table and other processes."""
 
 from collections.abc import Callable
 
@@ -10,9 +10,9 @@
 
 
 class ZoneWatch:
-    """Keeps ``drains`` up to date, from the table and from what other processes tell.
+    """Keeps ``drains`` up to date, from the operators' table and from reports of other processes.
 
-    ``on_change`` is called once it holds another set of zones.
+    ``on_change`` is called when the set of zones has changed.
     """
 
     def __init__(self, log: EventLog) -> None:
@@ -21,11 +21,11 @@
         self._log = log
         self._rows: set[str] = set()
 
-    def apply_table(self, news: TableUpdate) -> None:
-        """Take rows of the operators' table."""
-        if news.is_snapshot:
+    def apply_table(self, update: TableUpdate) -> None:
+        """Apply rows of the operators' table."""
+        if update.is_snapshot:
             self._rows.clear()
-        for row in news.rows:
+        for row in update.rows:
             zone = zone_drained_by(row.at)
             if zone is None:
                 continue
@@ -33,17 +33,17 @@
                 self._rows.discard(zone)
             else:
                 self._rows.add(zone)
-        self._take(news.version, self._rows, "table")
+        self._update(update.version, self._rows, "table")
 
-    def apply_from_peer(self, told: ZoneDrainsTold, source: str) -> None:
-        """Take what another process has told."""
-        self._take(told.version, told.zones, source)
+    def apply_from_peer(self, report: ZoneDrainsTold, source: str) -> None:
+        """Apply the report of another process."""
+        self._update(report.version, report.zones, source)
 
     def drains_message(self) -> ZoneDrainsTold:
-        """Return what is known here, to tell another process."""
+        """Return the drains that this process knows, as a message to another process."""
         return ZoneDrainsTold(self.drains.version, tuple(sorted(self.drains.zones)))
 
-    def _take(self, version: int, zones: set[str] | tuple[str, ...], source: str) -> None:
+    def _update(self, version: int, zones: set[str] | tuple[str, ...], source: str) -> None:
         former_version = self.drains.version
         if not self.drains.take(version, zones):
             return
