--- a/features/steps/explaining_steps.py
+++ b/features/steps/explaining_steps.py
@@ -1,4 +1,4 @@
-"""Steps that explain requests from logs and figures."""
+"""Steps for the explanation of requests from logs and metrics."""
 
 import asyncio
 import json
@@ -41,14 +41,14 @@
     timeline_says(context, call, sentence)
 
 
-@then('the figures of "{name}" have these lines')
-def figures(context, name):
+@then('the metrics of "{name}" have these lines')
+def metrics_have_lines(context, name):
     for row in context.table:
         wait_for(lambda row=row: row["line"] in context.system.metrics(name), row["line"])
 
 
-@given("an event log whose reader does not read")
-def stuck_log(context):
+@given("an event log whose reader is blocked")
+def blocked_log(context):
     context.pipe = os.pipe()
     os.set_blocking(context.pipe[1], False)
     context.add_cleanup(os.close, context.pipe[0])
@@ -66,14 +66,14 @@
         context.log.write("note", text=f"line {number} {'x' * 80}")
 
 
-@then("writing took no wait, and dropped lines are counted by event")
+@then("no write has blocked, and dropped lines are counted by event")
 def lines_counted(context):
-    # A write that waited would never have come back: nobody reads.
-    kept = min(MAX_LINES_PER_S, MAX_WAITING_LINES)
-    assert context.log.dropped["note"] == 20_000 - kept, context.log.dropped
+    # A blocking write would never return, as the pipe has no reader.
+    accepted = min(MAX_LINES_PER_S, MAX_WAITING_LINES)
+    assert context.log.dropped["note"] == 20_000 - accepted, context.log.dropped
 
 
-@when("the reader reads")
+@when("the reader continues")
 def read_pipe(context):
     chunks = []
     os.set_blocking(context.pipe[0], False)
@@ -86,19 +86,19 @@
     context.read = b"".join(chunks)
 
 
-@then("only whole lines were written")
-def whole_lines(context):
+@then("only complete lines were written")
+def complete_lines(context):
     lines = context.read.decode().splitlines()
     assert len(lines) == min(MAX_LINES_PER_S, MAX_WAITING_LINES), len(lines)
     assert all(json.loads(line)["event"] == "note" for line in lines)
 
 
-@when("a callback of its timers fails twice")
+@when("a timer callback of its process fails twice")
 def callback_fails(context):
     async def fail_twice():
         timers, log = Timers(), context.log
         log._timers = timers
-        log.flush = lambda: None  # lines stay where they are read from
+        log.flush = lambda: None  # keeps the lines in the buffer, which the next step reads
         log.open()
         calls = []
 
@@ -114,20 +114,20 @@
     asyncio.run(fail_twice())
 
 
-@then('{count:d} lines "{event}" tell the trace')
-def trace_written(context, count, event):
+@then('{count:d} lines "{event}" contain the traceback')
+def traceback_written(context, count, event):
     lines = [json.loads(line) for line in context.log._lines]
     texts = [line["text"] for line in lines if line["event"] == event]
     assert len(texts) == count, lines
     assert all("no such row" in text and "in fail" in text for text in texts), texts
 
 
-# Times since the job was handed in: of each event of a job, in milliseconds.
-SERVED = {"begun": 0, "started": [5, 6], "ended": 110}
+# Times of a job's events since its submission, in milliseconds.
+COMPLETED = {"begun": 0, "started": [5, 6], "ended": 110}
 LATE_FIRST = {"begun": 0, "started": [90, 91], "ended": 240}
 LATE_LAST = {"begun": 0, "started": [5, 95], "ended": 240}
 SLOW_ANSWER = {"begun": 0, "started": [5, 6], "ended": 260, "ran": 100}
-# Its work was longer than stated, and so is the time within which its caller needs it.
+# The job's work exceeds its stated work, which extends its due time accordingly.
 LONG_WORK = {"begun": 0, "started": [5, 6], "ended": 260, "ran": 150}
 RELEASED = {"begun": 0, "started": [5, 95], "released": 50, "ended": 240}
 UNFINISHED = {"begun": 0, "started": [5]}
@@ -165,13 +165,13 @@
     return lines
 
 
-@given("logs of jobs that were served, refused, given up, late and left without an end")
+@given("logs of jobs that were completed, refused, given up, late or have no logged end")
 def logs_of_losses(context):
     refused = {"refused": "overloaded"}
     given_up = {"begun": 0, "given_up": 60}
     histories = [
-        SERVED, SERVED, refused, refused, given_up, LATE_FIRST, LATE_LAST, SLOW_ANSWER, RELEASED,
-        UNFINISHED, LONG_WORK,
+        COMPLETED, COMPLETED, refused, refused, given_up, LATE_FIRST, LATE_LAST, SLOW_ANSWER,
+        RELEASED, UNFINISHED, LONG_WORK,
     ]  # fmt: skip
     started = {"t_ms": 1_000, "at": "entry-1", "event": "started", "zone": "moka-hall"}
     lines = [json.dumps(started)]
@@ -182,13 +182,13 @@
     context.log_file.write_text("\n".join(lines))
 
 
-@then('"gapdrum logs losses" tells of these jobs')
-def losses_told(context):
+@then('"gapdrum logs losses" lists these jobs')
+def losses_listed(context):
     found = {loss.reason: loss.jobs for loss in summarize_losses(read_lines([context.log_file]))}
     expected = {row["reason"]: int(row["jobs"]) for row in context.table}
     assert found == expected, found
-    told = run_losses(context)
-    assert all(reason in told for reason in expected), told
+    output = run_losses(context)
+    assert all(reason in output for reason in expected), output
 
 
 def run_losses(context, *options):
@@ -199,14 +199,14 @@
     ).stdout
 
 
-@then('"gapdrum logs losses" tells of {jobs:d} jobs in "{zone}" in second {second:d}')
+@then('"gapdrum logs losses" lists {jobs:d} jobs in "{zone}" in second {second:d}')
 def losses_by_zone(context, jobs, zone, second):
-    told = json.loads(run_losses(context, "--json"))
-    assert sum(loss["zones"][zone] for loss in told) == jobs, told
-    assert sum(loss["seconds"][str(second)] for loss in told) == jobs, told
+    output = json.loads(run_losses(context, "--json"))
+    assert sum(loss["zones"][zone] for loss in output) == jobs, output
+    assert sum(loss["seconds"][str(second)] for loss in output) == jobs, output
 
 
-@then("it draws {jobs:d} jobs in second {second:d}")
+@then("the chart shows {jobs:d} jobs in second {second:d}")
 def losses_drawn(context, jobs, second):
     last = run_losses(context).splitlines()[-1].split()
     assert last[:3] == [str(second), "s", str(jobs)] and set(last[3]) == {"#"}, last
@@ -221,7 +221,7 @@
     }
 
 
-@then('its figures tell {count:d} "{kind}" that were {direction}')
-def tells_messages(context, count, kind, direction):
+@then('its metrics count {count:d} "{kind}" that were {direction}')
+def messages_counted(context, count, kind, direction):
     line = f'gapdrum_messages_total{{direction="{direction}",kind="{kind}"}} {count}.0'
     assert line in context.measures.expose().decode().splitlines()
