--- a/src/gapdrum/event_log.py
+++ b/src/gapdrum/event_log.py
@@ -20,7 +20,7 @@
 FLUSH_INTERVAL_MS = 50
 MAX_TRACE_LENGTH = 2_000
 MAX_REASON_LENGTH = 60  # bounds the counter's label; reasons are codes or short texts
-# Writes to a pipe are atomic up to this size (PIPE_BUF), so lines are never interleaved.
+# Writes of up to this size to a pipe are atomic (PIPE_BUF), so no line is split.
 FLUSH_BYTES = 4_096
 
 _encode = json.JSONEncoder(separators=(",", ":"), default=str).encode
--- a/src/gapdrum/events.py
+++ b/src/gapdrum/events.py
@@ -153,7 +153,7 @@
 )  # fmt: skip
 _add(
     "request_crashed",
-    "A request failed with an internal error; the response leaves the job's state open.",
+    "A request failed with an internal error; the job's state is unknown to its caller.",
     "path",
     "error",
 )
@@ -267,7 +267,7 @@
     "request", "task", "attempt", "end", "runner", "ran_ms",
 )  # fmt: skip
 _add(
-    "event_of_earlier_submission", "An event concerns a run of an earlier submission of the job.",
+    "event_of_earlier_submission", "An event of an earlier submission of the job is ignored.",
     "request", "task", "attempt", "kind", "reason", "runner",
 )  # fmt: skip
 _add("order_refused", "The agent refuses to start the run.", "request", "task", "attempt", "reason")
