--- a/src/gapdrum_standins/__init__.py
+++ b/src/gapdrum_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the outside systems, for tests, demo and measurements."""
+"""Stand-ins for the external systems, used by tests, the demo and the benchmarks."""
--- a/src/gapdrum_standins/platform.py
+++ b/src/gapdrum_standins/platform.py
@@ -1,8 +1,8 @@
-"""Stand-in for the platform's transactional table and object store, with faults to inject.
+"""Stand-in for the platform's transactional table and object store, with fault injection.
 
-It keeps everything in memory and speaks the protocol of docs/PLATFORM.md.
+It keeps all data in memory and speaks the protocol of docs/PLATFORM.md.
 ``POST /faults`` sets a fault: ``outage`` answers 503 without effect, ``lost``
-takes effect and drops the answer, ``slow`` waits first.
+executes the call and drops the answer, ``slow`` delays the call.
 """
 
 import json
@@ -26,7 +26,7 @@
 
 @attrs.define
 class Fault:
-    """A fault in force: its mode, the key prefix it concerns, how many calls are left."""
+    """An injected fault: its mode, the key prefix it affects, and for how many more calls."""
 
     mode: str = ""
     prefix: str = ""
@@ -34,9 +34,9 @@
     delay_ms: int = 0
 
     def applies(self, keys: list[str], is_write: bool) -> bool:
-        """Tell whether a call on these keys meets the fault, and count it.
+        """Tell whether the fault affects a call on these keys, and count the call.
 
-        Only writes can lose their answer after an effect.
+        The mode "lost" affects only writes.
         """
         if not self.mode or self.count == 0 or self.mode == "lost" and not is_write:
             return False
@@ -47,7 +47,7 @@
 
 
 class Tables:
-    """The rows and objects, under one lock."""
+    """The rows and objects, guarded by one lock."""
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
@@ -57,18 +57,18 @@
         self.fault = Fault()
 
     def transact(self, operations: list[dict]) -> list[dict]:
-        """Apply all operations, or none and return those whose condition failed."""
+        """Apply all operations, or none; return the rows whose condition failed."""
         failed = [
             {"key": operation["key"], "row": self.rows.get(operation["key"])}
             for operation in operations
-            if not self._holds(operation)
+            if not self._is_condition_met(operation)
         ]
         if not failed:
             for operation in operations:
                 self._apply(operation)
         return failed
 
-    def _holds(self, operation: dict) -> bool:
+    def _is_condition_met(self, operation: dict) -> bool:
         expected = operation["expected_version"]
         row = self.rows.get(operation["key"])
         return expected == -1 or expected == (row["version"] if row else 0)
@@ -183,7 +183,7 @@
     server = wsgi.Server((host, port), platform, numthreads=THREADS)
     server.keep_alive_conn_limit = MAX_KEEP_ALIVE_CONNECTIONS
     server.error_log = lambda *arguments, **options: None
-    logger.info("platform stand-in serves on port {}", port)
+    logger.info("platform stand-in listens on port {}", port)
     try:
         server.start()
     finally:
--- a/src/gapdrum_standins/row_store.py
+++ b/src/gapdrum_standins/row_store.py
@@ -1,8 +1,8 @@
-"""Stand-in for the platform's store of rows: transactions, reads, the feed, and faults.
+"""Stand-in for the platform's row store: transactions, reads, change feed and fault injection.
 
-It keeps everything in memory. ``POST /faults`` takes ``{"mode": "outage" | "silent" | "lost" |
-"late" | "slow" | "forget", "delay_ms": 300, "count": 1, "table": ""}``; an empty mode ends the
-fault. A ``table`` limits it to calls whose body names that table.
+All data is in memory. ``POST /faults`` takes ``{"mode": "outage" | "silent" | "lost" |
+"late" | "slow" | "forget", "delay_ms": 300, "count": 1, "table": ""}``; an empty mode clears
+the fault. ``table`` limits it to calls whose body names that table.
 """
 
 import asyncio
@@ -31,7 +31,7 @@
 
 @attrs.define
 class Fault:
-    """What the store does wrong until it is told otherwise."""
+    """A fault that is injected into the next ``count`` matching calls."""
 
     mode: str = ""
     delay_ms: int = 0
@@ -41,7 +41,7 @@
 
 @attrs.define(eq=False)
 class RowTable:
-    """All rows with their versions, and the order in which they changed."""
+    """All rows with their versions, and the order of their latest changes."""
 
     version: int = 0
     forgotten: int = 0
@@ -49,7 +49,7 @@
     changes: OrderedDict[Key, int] = attrs.Factory(OrderedDict)
 
     def transact(self, document: dict[str, Any]) -> dict[str, Any] | None:
-        """Apply a transaction; return the rows of its conditions if one does not hold."""
+        """Apply a transaction; if a condition does not hold, return the rows of all conditions."""
         expected = [(_key(item), int(item["ver"])) for item in document.get("expect", [])]
         if any(self.rows.get(key, (b"", 0))[1] != version for key, version in expected):
             return {"rows": [self.show(key) for key, _ in expected]}
@@ -69,7 +69,7 @@
         self.changes.move_to_end(key)
 
     def show(self, key: Key) -> dict[str, Any]:
-        """Return a row as the protocol shows it; version 0 where there is none."""
+        """Return a row in the format of the protocol; a missing row has version 0."""
         table, part, name = key
         row = {"table": table, "part": part, "key": name}
         if key not in self.rows:
@@ -78,7 +78,7 @@
         return {**row, "value": base64.b64encode(value).decode(), "ver": version}
 
     def read(self, query: dict[str, str]) -> dict[str, Any]:
-        """Return the rows of a range."""
+        """Return the rows of a key range, at most ``PAGE_ROWS``."""
         limit = min(int(query.get("limit", PAGE_ROWS)), PAGE_ROWS)
         first, end = query.get("from", ""), query.get("destination")
         keys = sorted(
@@ -92,7 +92,7 @@
         return {"rows": rows, "has_more": len(keys) > limit, "ver": self.version, "now_ms": 0}
 
     def changed(self, table: str, after: int) -> list[dict[str, Any]]:
-        """Return the rows of a table that changed after a version, in order."""
+        """Return the rows of a table that changed after a version, in order of change."""
         return [
             self.show(key)
             for key, version in self.changes.items()
@@ -101,16 +101,16 @@
 
 
 class StoreStandIn:
-    """The store's calls over HTTP."""
+    """Serves the store's HTTP calls."""
 
     def __init__(self) -> None:
         self.table = RowTable()
         self.fault = Fault()
         self.calls = 0
-        self._changed = asyncio.Event()
+        self._changed_event = asyncio.Event()
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer a call, or fail as told."""
+        """Answer a call, or apply the injected fault."""
         path, _, query_text = request.path.partition("?")
         query = dict(parse_qsl(query_text, keep_blank_values=True))
         if path == "/faults":
@@ -132,13 +132,13 @@
         )
         if self.fault.mode == "forget":
             self.table.forgotten = self.table.version
-            self._wake()
+            self._notify_feeds()
         return json_response(200, {})
 
     async def _answer(
         self, handler: Callable, request: HttpRequest, query: dict[str, str]
     ) -> HttpResponse:
-        mode = self._use_fault(request)
+        mode = self._consume_fault(request)
         if mode == "outage":
             return json_response(503, {})
         if mode == "silent":
@@ -156,8 +156,8 @@
             await asyncio.sleep(FOREVER_S)
         return response
 
-    def _use_fault(self, request: HttpRequest) -> str:
-        """Return the fault that strikes a call; lost and late answers strike writes only."""
+    def _consume_fault(self, request: HttpRequest) -> str:
+        """Return the fault mode for a call and count it; "lost" and "late" affect only writes."""
         fault = self.fault
         if fault.mode in ("lost", "late") and request.method != "POST":
             return ""
@@ -178,7 +178,7 @@
         conflict = self.table.transact(document)
         if conflict is not None:
             return json_response(412, {**conflict, "ver": self.table.version, "now_ms": 0})
-        self._wake()
+        self._notify_feeds()
         return json_response(200, {"ver": self.table.version, "now_ms": 0})
 
     async def _read(self, _request: HttpRequest, query: dict[str, str]) -> HttpResponse:
@@ -192,21 +192,21 @@
             if after < self.table.forgotten:
                 return json_response(410, {})
             rows = self.table.changed(query["table"], after)
-            left_s = end_s - asyncio.get_running_loop().time()
-            if rows or left_s <= 0:
+            remaining_s = end_s - asyncio.get_running_loop().time()
+            if rows or remaining_s <= 0:
                 document = {"rows": rows, "ver": self.table.version, "now_ms": 0}
                 return json_response(200, document)
-            await self._wait_for_change(left_s)
+            await self._wait_for_change(remaining_s)
 
     async def _wait_for_change(self, limit_s: float) -> None:
         try:
-            await asyncio.wait_for(self._changed.wait(), limit_s)
+            await asyncio.wait_for(self._changed_event.wait(), limit_s)
         except TimeoutError:
-            return  # the caller looks at the time itself
+            return  # the caller checks the deadline itself
 
-    def _wake(self) -> None:
-        self._changed.set()
-        self._changed = asyncio.Event()
+    def _notify_feeds(self) -> None:
+        self._changed_event.set()
+        self._changed_event = asyncio.Event()
 
     _HANDLERS = {"/rows-tx": _transact, "/rows-get": _read, "/rows-feed": _feed}
 
@@ -216,7 +216,7 @@
 
 
 async def serve(host: str, port: int) -> None:
-    """Serve until the process ends."""
+    """Serve until the process is stopped."""
     store = StoreStandIn()
     limits = HttpLimits(max_body_bytes=2**21, idle_timeout_ms=3_600_000)
     await HttpListener(store.handle, limits, Timers()).open(host, port)
--- a/src/gapdrum_standins/run_host.py
+++ b/src/gapdrum_standins/run_host.py
@@ -1,13 +1,13 @@
-"""Stand-in for a runner of the platform: leases, starts, stops, ends, and faults.
-
-A task's ``spec`` is JSON text: ``{"run_ms": 80, "fail": false}``, with ``"rack"`` where its data
-lie: away from there it takes longer, and so it does at a slow runner. ``GET /history`` tells all
-runs with their times, and the most room that was ever held, so that a test can check that no
-task ran twice at once and that the capacity held, ``GET /lease`` for how long the lease still
-lasts. ``POST /faults`` takes ``{"mode": "hang" |
-"errors" | "unanswered" | "late" | "answers_lost", "count": N, "delay_ms": M}``; with
-``"paths": ["/run-stop"]`` only these calls are left unanswered or carried out late. Of the answers
-that are lost, the calls have been carried out: each ``every``-th call, ``count`` times.
+"""Stand-in for a runner of the platform: leases, starts, stops, ends and fault injection.
+
+A task's ``spec`` is JSON text: ``{"run_ms": 80, "fail": false}``, optionally with the ``"rack"`` of
+its data: the task takes longer on another rack, and on a slow runner. ``GET /history`` returns the
+starts and ends of all runs with their times, so that a test can check that no task ran twice at
+once and that the capacity was not exceeded. ``GET /lease`` returns the remaining time of the lease.
+``POST /faults`` takes ``{"mode": "hang" | "errors" | "unanswered" | "late" | "answers_lost",
+"count": N, "delay_ms": M}``; ``"paths": ["/run-stop"]`` limits the last three to these calls. With
+"answers_lost" the runner executes the calls and drops the answer of each ``every``-th call,
+``count`` times.
 """
 
 import asyncio
@@ -35,7 +35,7 @@
 
 @attrs.define(eq=False)
 class HostedRun:
-    """A run at work."""
+    """A run that is being executed."""
 
     task: str
     attempt: int
@@ -47,21 +47,21 @@
 
 @attrs.frozen
 class Pace:
-    """How fast a runner works, in which rack, and how many times as long far work takes."""
+    """A runner's speed and rack, and the factor on the duration of tasks with remote data."""
 
     speed: float = 1.0
     rack: str = "r1"
     far_factor: float = 1.0
 
     def duration_ms(self, spec: dict[str, Any]) -> int:
-        """Return how long a task takes here."""
+        """Return how long a task runs on this runner."""
         is_far = spec.get("rack", self.rack) != self.rack
         return round(spec["run_ms"] * (self.far_factor if is_far else 1.0) / self.speed)
 
 
 @attrs.define
 class RunHost:
-    """The state of one incarnation of a runner; ``now_ms`` is its steady clock."""
+    """The state of one incarnation of a runner."""
 
     pace: Pace = attrs.Factory(Pace)
     started_ns: int = attrs.Factory(time.monotonic_ns)
@@ -79,11 +79,11 @@
 
     @property
     def now_ms(self) -> int:
-        """Return the steady clock."""
+        """Return the reading of the runner's monotonic clock."""
         return 1_000 + (time.monotonic_ns() - self.started_ns) // 1_000_000
 
     def sweep(self) -> bool:
-        """End what is done, failed or lapsed; return whether anything ended."""
+        """End the runs that are done or whose lease lapsed; return whether any run ended."""
         now_ms = self.now_ms
         before = self.last_end
         if now_ms >= self.lease_ms:
@@ -100,23 +100,23 @@
         self.last_end += 1
         self.ended.append([self.last_end, run.task, run.attempt, how, ""])
         self.ended_ms[self.last_end] = self.now_ms
-        self._note(run.task, run.attempt, how)
+        self._record(run.task, run.attempt, how)
 
     def forget_ends(self, acknowledged_end: int) -> None:
-        """Forget ends; one that a lapse of the lease came after does not count any more."""
+        """Forget acknowledged ends; an end that a lapse of the lease followed does not count."""
         for number, task, attempt, how, _ in self.ended:
             if number <= acknowledged_end and how == "done":
                 void = self.lapsed_ms >= self.ended_ms[number]
-                self._note(task, attempt, "forgotten_after_lapse" if void else "forgotten")
+                self._record(task, attempt, "forgotten_after_lapse" if void else "forgotten")
         self.ended = [row for row in self.ended if row[0] > acknowledged_end]
 
-    def _note(self, task: str, attempt: int, how: str) -> None:
+    def _record(self, task: str, attempt: int, how: str) -> None:
         row = {
             "task": task,
             "attempt": attempt,
             "how": how,
             "wall_ms": time.time_ns() // 1_000_000,
-            # Orders what happens at several runners within a millisecond: all share this clock.
+            # Shared by all runners: it orders their events within a millisecond.
             "steady_ns": time.monotonic_ns(),
         }
         self.history.append(row)
@@ -125,7 +125,7 @@
                 file.write(json.dumps({**row, "life": os.getpid()}) + "\n")
 
     def start(self, body: dict[str, Any]) -> str:
-        """Start a run; return the reason if it is rejected."""
+        """Start a run; return the reason if it is rejected, else an empty string."""
         task, attempt = body["task"], body["attempt"]
         running = self.runs.get(task)
         if running is not None and running.attempt == attempt:
@@ -147,18 +147,18 @@
         )
         self.runs[task] = run
         self.highest[task] = attempt
-        self._note(task, attempt, "started")
+        self._record(task, attempt, "started")
         return ""
 
     def use_fault(self, *modes: str) -> str:
-        """Return the fault that strikes now, if it is one of these."""
+        """Return the injected fault and count it, if it is one of these modes."""
         if self.fault.get("mode") not in modes or self.fault.get("count", 1) <= 0:
             return ""
         self.fault["count"] = self.fault.get("count", 1) - 1
         return self.fault["mode"]
 
     def loses_answer(self) -> bool:
-        """Tell whether the answer of this call is lost."""
+        """Tell whether the answer of this call must be dropped."""
         if self.fault.get("mode") != "answers_lost":
             return False
         self.fault["calls"] = self.fault.get("calls", 0) + 1
@@ -166,11 +166,11 @@
         return due and bool(self.use_fault("answers_lost"))
 
     def extend(self, until_ms: int) -> None:
-        """Extend the lease of all runs; it never gets shorter."""
+        """Extend the lease, which covers all runs; it is never shortened."""
         self.lease_ms = max(self.lease_ms, min(until_ms, self.now_ms + LEASE_MAX_MS))
 
     def stop(self, body: dict[str, Any]) -> None:
-        """Stop a run, and reject it if it has not come yet."""
+        """Stop a run; if it has not been started, later starts of the attempt are rejected."""
         task, attempt = body["task"], body["attempt"]
         self.highest[task] = max(self.highest.get(task, 0), attempt)
         run = self.runs.get(task)
@@ -178,7 +178,7 @@
             self._end(run, "stopped")
 
     def show(self) -> dict[str, Any]:
-        """Return what runs and what has ended."""
+        """Return the active runs and the ends that are not acknowledged."""
         now_ms = self.now_ms
         running = [
             [run.task, run.attempt, "", _percent(run, now_ms), 0] for run in self.runs.values()
@@ -193,7 +193,7 @@
 
 
 class RunnerStandIn:
-    """The runner's calls over HTTP, and its heartbeats."""
+    """Serves the runner's HTTP calls and sends its heartbeats."""
 
     def __init__(
         self,
@@ -208,11 +208,11 @@
         self.runner_id = f"i-{os.getpid():08x}"
         self._report = {**report, "address": f"{host}:{port}"}
         self._control = HttpClient(host, control_port)
-        self._ended = asyncio.Event()
+        self._ended_event = asyncio.Event()
         self._sequence = 0
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer a call, or fail as told."""
+        """Answer a call, or apply the injected fault."""
         if request.path == "/faults":
             self.state.fault = json.loads(request.body)
             return json_response(200, {})
@@ -229,7 +229,7 @@
         return await self._command(request.path, json.loads(request.body))
 
     def _describe_machine(self) -> dict[str, Any]:
-        """Return this runner as the platform's list of machines shows it."""
+        """Return this runner as an item of the platform's list of machines."""
         return {
             "machine": f"m-{self.runner_id}",
             "pool": self._report["service"],
@@ -242,15 +242,15 @@
 
     async def _command(self, path: str, body: dict[str, Any]) -> HttpResponse:
         state = self.state
-        struck = path in state.fault.get("paths", (path,))
-        if struck and state.use_fault("unanswered"):
+        is_affected = path in state.fault.get("paths", (path,))
+        if is_affected and state.use_fault("unanswered"):
             await asyncio.sleep(FOREVER_S)
-        if struck and state.use_fault("late"):
+        if is_affected and state.use_fault("late"):
             await asyncio.sleep(state.fault["delay_ms"] / MS_PER_S)
-            self._carry_out(path, body)
+            self._execute(path, body)
             await asyncio.sleep(FOREVER_S)
         answer = await self._answer_command(path, body)
-        if struck and state.loses_answer():
+        if is_affected and state.loses_answer():
             await asyncio.sleep(FOREVER_S)
         return answer
 
@@ -259,17 +259,17 @@
             return self._answer(409, reason="fence")
         if path == "/hold":
             return await self._hold(body)
-        reason = self._carry_out(path, body)
+        reason = self._execute(path, body)
         return self._answer(409, reason=reason) if reason else self._answer(200)
 
-    def _carry_out(self, path: str, body: dict[str, Any]) -> str:
+    def _execute(self, path: str, body: dict[str, Any]) -> str:
         self.state.fence = max(self.state.fence, body.get("fencing_token", 0))
         self.sweep()
         if path == "/run-start":
             return self.state.start(body)
         if path == "/run-stop":
             self.state.stop(body)
-            self._wake()
+            self._notify_end()
         return ""
 
     async def _hold(self, body: dict[str, Any]) -> HttpResponse:
@@ -280,7 +280,7 @@
         state.extend(body.get("deadline_ms", 0))
         wait_s = body.get("wait_ms", 0) / MS_PER_S
         if not state.ended and wait_s:
-            waiting = asyncio.ensure_future(self._ended.wait())
+            waiting = asyncio.ensure_future(self._ended_event.wait())
             await asyncio.wait({waiting}, timeout=wait_s)
             waiting.cancel()
         return self._answer(200, **state.show())
@@ -289,16 +289,16 @@
         return json_response(status, {"clock_ms": self.state.now_ms, **fields})
 
     def sweep(self) -> None:
-        """End what is over, and wake those who wait for an end."""
+        """End finished and lapsed runs, and notify the calls that wait for an end."""
         if self.state.sweep():
-            self._wake()
+            self._notify_end()
 
-    def _wake(self) -> None:
-        self._ended.set()
-        self._ended = asyncio.Event()
+    def _notify_end(self) -> None:
+        self._ended_event.set()
+        self._ended_event = asyncio.Event()
 
     async def send_heartbeat(self) -> None:
-        """Send one heartbeat to the agent beside this runner."""
+        """Send one heartbeat to this runner's agent."""
         if self.state.use_fault("no_heartbeats"):
             return
         self._sequence += 1
@@ -307,7 +307,7 @@
         try:
             await self._control.call("POST", path, body, timeout_ms=HEARTBEAT_TIMEOUT_MS)
         except (NoReplyError, NotSentError):
-            return  # the agent is away; the next beat tells it the same
+            return  # the agent is unreachable; the next heartbeat has the same content
 
 
 async def serve(
@@ -318,7 +318,7 @@
     history_path: Path | None,
     pace: Pace,
 ) -> None:
-    """Serve until the process ends."""
+    """Serve until the process is stopped."""
     timers = Timers()
     runner = RunnerStandIn(host, port, control_port, report, history_path, pace)
     limits = HttpLimits(idle_timeout_ms=3_600_000)
--- a/src/gapdrum_standins/upstream.py
+++ b/src/gapdrum_standins/upstream.py
@@ -1,8 +1,8 @@
-"""Stand-in for a runner: announces itself to its agent, sleeps for each task, keeps count.
+"""Stand-in for a runner: announces itself to its agent, sleeps for each task, counts starts.
 
 A task's payload is JSON text with ``run_ms`` and optionally ``fail`` (answer
-500).  ``GET /starts`` tells how often each task started: the only witness
-that counts in tests.  ``POST /behaviour`` makes the runner fail everything or
+500).  ``GET /starts`` returns how often each task started, which is what
+tests rely on.  ``POST /behaviour`` makes the runner fail all tasks or
 run slower by a factor.
 """
 
@@ -27,7 +27,7 @@
 
 @attrs.define
 class Behaviour:
-    """How the runner treats its tasks."""
+    """How the runner executes tasks; ``slow_percent`` scales their duration."""
 
     fail_all: bool = False
     slow_percent: int = 100
@@ -88,7 +88,7 @@
 
 
 def announce_forever(agent_url: str, token: str, announcement: dict) -> None:
-    """Announce to the agent again and again, until the process ends."""
+    """Announce the runner to its agent at a fixed interval, until the process ends."""
     pool = urllib3.PoolManager(retries=False, timeout=1)
     headers = {"Authorization": f"Bearer {token}"}
     body = json.dumps(announcement).encode()
@@ -96,7 +96,7 @@
         try:
             pool.request("POST", f"{agent_url}/v1/announce", body=body, headers=headers)
         except HTTPError:
-            logger.debug("the agent does not answer")
+            logger.debug("announcement failed: the agent does not answer")
         time.sleep(ANNOUNCE_INTERVAL_S)
 
 
