--- a/features/soak_checks.feature
+++ b/features/soak_checks.feature
@@ -1,10 +1,11 @@
-Feature: the soak takes what runners saw exactly
-  Runners are the soak's witnesses: any overlap of two runs of one task is told, however short.
+Feature: the soak's checks of what runners recorded
+  The soak relies on the records of runners: it reports any overlap of two runs of one task, however
+  short.
 
   Scenario Outline: runs at two runners
-    Given runner 1 saw "<one>"
-    And runner 2 saw "<other>"
-    When the runs of a waiting job are checked
+    Given runner 1 recorded "<one>"
+    And runner 2 recorded "<other>"
+    When the runs of a non-durable job are checked
     Then overlaps found: <overlaps>
 
     Examples: rows are HOW@MS, of attempt 1 of one task
@@ -21,30 +22,30 @@
       | started@10.0 done@20.0 killed@99.0   | started@50.0 done@60.0           | 0        |
       | started@10.0 lapsed@12.0 killed@99.0 | started@13.0 lapsed@14.0         | 0        |
 
-  Scenario: an end that is forgotten at one runner is no end of a run at another
-    Given runner 1 saw "started@10.0 done@20.0 forgotten@35.0"
-    And runner 2 saw "started@30.0 done@50.0"
-    And runner 3 saw "started@40.0 done@60.0"
-    When the runs of a waiting job are checked
+  Scenario: an end that one runner forgets ends no run at another
+    Given runner 1 recorded "started@10.0 done@20.0 forgotten@35.0"
+    And runner 2 recorded "started@30.0 done@50.0"
+    And runner 3 recorded "started@40.0 done@60.0"
+    When the runs of a non-durable job are checked
     Then overlaps found: 1
 
-  Scenario: lives of one runner are told apart
-    Given runner 1 saw "started@10.0 killed@20.0"
-    And its next life saw "started@30.0 done@40.0"
-    And runner 2 saw "started@21.0 done@29.0"
-    When the runs of a waiting job are checked
+  Scenario: incarnations of one runner are distinguished
+    Given runner 1 recorded "started@10.0 killed@20.0"
+    And its next incarnation recorded "started@30.0 done@40.0"
+    And runner 2 recorded "started@21.0 done@29.0"
+    When the runs of a non-durable job are checked
     Then overlaps found: 0
 
-  Scenario: a life that was not killed has not ended what it does not tell of
-    Given runner 1 saw "started@10.0"
-    And its next life saw "started@30.0 done@40.0"
-    When the runs of a waiting job are checked
+  Scenario: a run without a recorded end stays active unless its runner was killed
+    Given runner 1 recorded "started@10.0"
+    And its next incarnation recorded "started@30.0 done@40.0"
+    When the runs of a non-durable job are checked
     Then overlaps found: 1
 
-  Scenario Outline: a stored task that was done
-    Given runner 1 saw "<one>"
-    And runner 2 saw "started@30.0 done@40.0"
-    When the runs of a stored job are checked
+  Scenario Outline: a durable task that was done
+    Given runner 1 recorded "<one>"
+    And runner 2 recorded "started@30.0 done@40.0"
+    When the runs of a durable job are checked
     Then starts after an end found: <starts>
 
     Examples:
@@ -53,16 +54,17 @@
       | started@10.0 done@20.0 forgotten_after_lapse@25 | 0      |
       | started@10.0 failed@20.0                        | 0      |
 
-  Scenario: more runs than a runner has room for, in its own life only
-    Given runner 1 saw 9 tasks at once
-    When the runs of a waiting job are checked
-    Then starts over the room found: 1
+  Scenario: more runs than a runner's capacity, within one incarnation
+    Given runner 1 recorded 9 tasks at once
+    When the runs of a non-durable job are checked
+    Then starts over the capacity found: 1
 
-  # An entry took what an agent told once more of an earlier submission for ends of the present one.
+  # Guards against an entry that counts ends of an earlier submission for the current one, after an
+  # agent has reported them again.
   Scenario Outline: an end counts only for a submission that began before it
-    Given runner 1 saw "started@1000.0 <end>@<ended>"
+    Given runner 1 recorded "started@1000.0 <end>@<ended>"
     And an entry began the job at <begun> ms and counted that end at <counted> ms
-    When the entry's lines are checked
+    When the entry's log is checked
     Then ends of earlier submissions found: <found>
 
     Examples:
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run the soak of ``tools/soak.py`` with a fixed seed, and that check its witness."""
+"""Steps that run the soak of ``tools/soak.py`` with a fixed seed, and that test its checks."""
 
 from behave import given, then, when
 from soak import Soak
@@ -11,7 +11,7 @@
 @when("the soak runs seed {seed:d} for {seconds:d} s")
 def run_soak(context, seed, seconds):
     context.soak = Soak(seed, seconds)
-    context.broken = context.soak.run()
+    context.violations = context.soak.run()
 
 
 @when(
@@ -20,26 +20,30 @@
 )
 def run_larger_soak(context, seed, seconds, entries, agents, callers):
     context.soak = Soak(seed, seconds, entries=entries, agents=agents, callers=callers)
-    context.broken = context.soak.run()
+    context.violations = context.soak.run()
 
 
-@then("no promise was broken")
-def nothing_broken(context):
-    assert not context.broken, (context.broken, context.soak.faults, context.soak.system.folder)
+@then("no promise is violated")
+def no_violations(context):
+    assert not context.violations, (
+        context.violations,
+        context.soak.faults,
+        context.soak.system.folder,
+    )
     assert any(200 in job.statuses for job in context.soak.jobs)
 
 
-@then("callers have submitted again")
+@then("callers have resubmitted jobs")
 def submitted_again(context):
     assert any(len(job.submissions) > 1 for job in context.soak.jobs if not job.durable)
 
 
-# Without processes: what the checks make of histories.
+# The checks on given histories, without processes.
 
 
-@given('runner {number:d} saw "{rows}"')
-@given('its next life saw "{rows}"')
-def add_life(context, rows, number=0):
+@given('runner {number:d} recorded "{rows}"')
+@given('its next incarnation recorded "{rows}"')
+def add_incarnation(context, rows, number=0):
     histories = context.histories = getattr(context, "histories", [])
     killed_ns = context.killed_ns = getattr(context, "killed_ns", {})
     life = len(histories) + 1
@@ -60,16 +64,16 @@
     return {**row, "wall_ms": wall_ms}
 
 
-@given("runner 1 saw {count:d} tasks at once")
-def add_full_life(context, count):
+@given("runner 1 recorded {count:d} tasks at once")
+def add_full_incarnation(context, count):
     rows = [row_of(f"{JOB}.0.0.{number}", "started", number + 1, 1) for number in range(count)]
     context.histories, context.killed_ns = [rows], {}
 
 
 @when("the runs of a {kind} job are checked")
 def check_histories(context, kind):
-    job = SubmittedJob(JOB, kind == "stored", [200])
-    context.broken = check_runs(context.histories, [job], context.killed_ns)
+    job = SubmittedJob(JOB, kind == "durable", [200])
+    context.violations = check_runs(context.histories, [job], context.killed_ns)
 
 
 @then("overlaps found: {count:d}")
@@ -82,14 +86,14 @@
     assert_found(context, " after ", count)
 
 
-@then("starts over the room found: {count:d}")
-def over_room_found(context, count):
+@then("starts over the capacity found: {count:d}")
+def over_capacity_found(context, count):
     assert_found(context, "room: ", count)
 
 
 def assert_found(context, what, count):
-    found = [text for text in context.broken if what in text]
-    assert len(found) == count == len(context.broken), context.broken
+    found = [text for text in context.violations if what in text]
+    assert len(found) == count == len(context.violations), context.violations
 
 
 @given("an entry began the job at {begun_ms:d} ms and counted that end at {counted_ms:d} ms")
@@ -101,9 +105,9 @@
     ]
 
 
-@when("the entry's lines are checked")
+@when("the entry's log is checked")
 def check_lines(context):
-    context.broken = find_earlier_ends(context.lines, context.histories)
+    context.violations = find_earlier_ends(context.lines, context.histories)
 
 
 @then("ends of earlier submissions found: {count:d}")
--- a/tools/planted.py
+++ b/tools/planted.py
@@ -1,8 +1,8 @@
-"""Runs a program with one of its mechanisms switched off, to see that the soak notices.
+"""Runs a program with one mechanism disabled, to check that the soak detects it.
 
     python tools/planted.py room gapdrum.agent
 
-Each mechanism keeps one of the promises that the soak checks; see docs/PROMISES.md.
+Each mechanism is needed for one of the promises that the soak checks; see docs/PROMISES.md.
 """
 
 import importlib
@@ -25,33 +25,33 @@
 
 
 def mechanism(switch_off: Callable[[], None]) -> Callable[[], None]:
-    """Register a function that switches a mechanism off, under its name."""
+    """Register a function that disables a mechanism; its name is the program's argument."""
     MECHANISMS[switch_off.__name__] = switch_off
     return switch_off
 
 
 @mechanism
 def room() -> None:
-    """Take all room for free, at agents."""
+    """Make agents treat the whole capacity of a runner as free."""
     RunnerLedger.free = property(lambda self: self.capacity or ZERO_RESOURCES)
 
 
 @mechanism
 def grants() -> None:
-    """Act for entries that are silent, so that a run may go on at two places."""
-    Grants.until_ms = lambda _self, _owner, _kept: FOREVER_MS
+    """Let agents act for unresponsive entries without a limit, so that a task may run twice."""
+    Grants.until_ms = lambda _self, _owner, _durable: FOREVER_MS
     Grants.stop_due_ms = Grants.lease_limit_ms = lambda _self, _run: FOREVER_MS
 
 
 @mechanism
 def silence() -> None:
-    """Take a run for over, at entries, as soon as its agent is silent."""
+    """Let entries assume that a run has ended when its agent is silent for 300 ms."""
     fleet.run_bounds.SILENCE_LIMIT_MS = 300
 
 
 @mechanism
 def expiry() -> None:
-    """Take a start without an answer for one that never took effect, at the next look."""
+    """Treat an unanswered start as one that had no effect, at the next poll."""
     RunnerLedger._never_started = staticmethod(
         lambda run, _clock_ms: run.phase == "starting" and not run.calling
     )
@@ -59,7 +59,7 @@
 
 @mechanism
 def leaving() -> None:
-    """Let go on what runs for a caller who has left."""
+    """Let runs continue whose caller has left."""
     EntryOrders.stop_nondurable_runs = lambda _self, _owner: None
     WaitingCallers._leave = lambda _self, _job_id, _ended: None
     Grants.stop_due_ms = lambda _self, _run: FOREVER_MS
@@ -67,73 +67,73 @@
 
 @mechanism
 def refusal() -> None:
-    """Tell a job whose insert was not answered in time as not run."""
+    """Refuse a job as not run when the insert of its row was not answered in time."""
     accept = Acceptor.accept
 
-    async def guess(self, *arguments) -> Acceptance:
+    async def refuse_unsettled(self, *arguments) -> Acceptance:
         outcome = await accept(self, *arguments)
         return Acceptance.REFUSED if outcome is Acceptance.UNSETTLED else outcome
 
-    Acceptor.accept = guess
+    Acceptor.accept = refuse_unsettled
 
 
 @mechanism
 def ends() -> None:
-    """Let ends go at the runner before they are stored."""
-    note_end = RunnerLedger._record_end
+    """Acknowledge ends at the runner before they are stored."""
+    record_end = RunnerLedger._record_end
 
-    def forget(self, ended, now_ms):
-        noted = note_end(self, ended, now_ms)
+    def record_as_stored(self, ended, now_ms):
+        recorded = record_end(self, ended, now_ms)
         self.ends[ended.number].stored = True
-        return noted
+        return recorded
 
-    RunnerLedger._record_end = forget
+    RunnerLedger._record_end = record_as_stored
 
 
 @mechanism
 def drains() -> None:
-    """Pass over which availability zones are drained."""
+    """Ignore which availability zones are drained."""
     ZoneDrains.is_closed = lambda _self, _zone: False
     fleet.Fleet.open_runners = lambda self: self.runners.values()
 
 
 @mechanism
 def memory() -> None:
-    """Count nothing of what an agent finds that has started anew."""
+    """Let a restarted agent ignore the runs that it finds at its runner."""
     RunnerLedger.unknown_runs = property(lambda _self: 0, lambda _self, _count: None)
     RunnerLedger.held_runs = lambda _self, _jobs=None: ()
 
 
 @mechanism
 def identity() -> None:
-    """Take an event for a waiting caller's run whatever runner it comes from."""
+    """Accept events of a run from any runner."""
     Job.owns_run = lambda *_arguments: True
 
 
 @mechanism
 def submission() -> None:
-    """Take what is told of an earlier submission's run for the present one's."""
+    """Apply events of an earlier submission's runs to the current submission."""
     owns_run = Job.owns_run
-    Job.owns_run = lambda self, task, attempt, place, *_told: owns_run(
+    Job.owns_run = lambda self, task, attempt, place, *_reported: owns_run(
         self, task, attempt, place, self.submission, ""
     )
 
 
 @mechanism
 def resubmission() -> None:
-    """Hold what runs for a waiting caller as long as what runs for a stored job."""
+    """Give runs of non-durable jobs the lease duration of durable ones."""
     lease_duration_ms = RunBounds.lease_duration_ms
-    RunBounds.lease_duration_ms = lambda self, _kept: lease_duration_ms(self, durable=True)
+    RunBounds.lease_duration_ms = lambda self, _durable: lease_duration_ms(self, durable=True)
 
 
 @mechanism
 def deadline() -> None:
-    """Let callers wait for as long as their connection is open."""
+    """Let callers wait until they close their connection, past their deadline."""
     WaitingCallers._left_s = lambda _self, _caller: None
 
 
 def main() -> None:
-    """Switch the named mechanism off and run the named program."""
+    """Disable the named mechanism and run the named program."""
     MECHANISMS[sys.argv[1]]()
     importlib.import_module(f"{sys.argv[2]}.program").start()
 
--- a/tools/proxy.py
+++ b/tools/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, silences, cuts one way, or resets what passes through it."""
+"""A loopback proxy that delays, silences, cuts in one direction or resets its connections."""
 
 import asyncio
 import socket
@@ -13,11 +13,11 @@
 
 
 class Proxy:
-    """Passes connections on to one port; ``mode`` may change at any time.
+    """Forwards connections to one port; ``mode`` may change at any time.
 
-    ``delay`` holds each chunk for ``delay_s``, ``silent`` holds everything, and ``one_way``
-    holds what comes back. What is held is passed on when the mode ends. With a ``parity`` only
-    every second connection meets it, so that a process loses some of its peers and keeps others.
+    ``delay`` holds each chunk for ``delay_s``, ``silent`` holds all data, and ``one_way`` holds
+    the data from the target. Held data is forwarded when the mode ends. With a ``parity`` the mode
+    applies to every second connection, so that a process loses only some of its connections.
     """
 
     def __init__(self, port: int, target_port: int) -> None:
@@ -41,13 +41,13 @@
         self._loop.run_forever()
 
     def close(self) -> None:
-        """Stop passing anything, and end all connections."""
-        asyncio.run_coroutine_threadsafe(self._end_all(), self._loop).result()
+        """Stop the proxy and end all connections."""
+        asyncio.run_coroutine_threadsafe(self._cancel_all(), self._loop).result()
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join()
         self._loop.close()
 
-    async def _end_all(self) -> None:
+    async def _cancel_all(self) -> None:
         self._reset_all()
         tasks = asyncio.all_tasks() - {asyncio.current_task()}
         for task in tasks:
@@ -75,29 +75,33 @@
         self._writers |= {writer, target[1]}
         number = self._accepted
         self._accepted += 1
-        forth = self._pump(reader, target[1], number, back=False)
-        back = self._pump(target[0], writer, number, back=True)
+        to_target = self._forward(reader, target[1], number, from_target=False)
+        from_target = self._forward(target[0], writer, number, from_target=True)
         try:
-            await asyncio.gather(forth, back)
+            await asyncio.gather(to_target, from_target)
         except asyncio.CancelledError:
-            return  # the proxy is closed; asyncio would print a traceback for its stream's task
+            return  # on close; otherwise asyncio prints a traceback for the stream's task
         self._writers -= {writer, target[1]}
 
     def _mode_of(self, number: int) -> str:
         return self.mode if self.parity in (None, number % 2) else PASS
 
-    async def _pump(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, number: int, back: bool
+    async def _forward(
+        self,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        number: int,
+        from_target: bool,
     ) -> None:
         try:
             while chunk := await reader.read(CHUNK_BYTES):
                 if self._mode_of(number) == DELAY:
                     await asyncio.sleep(self.delay_s)
-                while self._mode_of(number) in ((SILENT, ONE_WAY) if back else (SILENT,)):
+                while self._mode_of(number) in ((SILENT, ONE_WAY) if from_target else (SILENT,)):
                     await asyncio.sleep(HOLD_POLL_S)
                 writer.write(chunk)
                 await writer.drain()
         except OSError:
-            writer.transport.abort()  # the other side is told the same way
+            writer.transport.abort()  # passes the reset on to the other side
         finally:
             writer.close()
--- a/tools/soak_checks.py
+++ b/tools/soak_checks.py
@@ -1,4 +1,4 @@
-"""What runners saw in a soak, held against the promises: the runners are the witnesses."""
+"""Checks of the soak: compares what runners and entries recorded with the promises."""
 
 import math
 import time
@@ -14,45 +14,45 @@
 
 
 @attrs.define
-class SeenRun:
-    """A run as its runner saw it; times are of the machine's steady clock, which all share."""
+class ObservedRun:
+    """A run as its runner recorded it, in times of the machine's monotonic clock."""
 
     task: str
     attempt: int
     life: int
     began_ns: int
-    ended_ns: float = math.inf  # still at work when the runners were last asked
+    ended_ns: float = math.inf  # infinite while the run is active
     how: str = ""
 
-    def overlap_ms(self, other: "SeenRun") -> float:
-        """Return for how long both were at work, negative if one was over before the other."""
+    def overlap_ms(self, other: "ObservedRun") -> float:
+        """Return for how long both runs were active, negative if they did not overlap."""
         first_end_ns = min(self.ended_ns, other.ended_ns)
         return (first_end_ns - max(self.began_ns, other.began_ns)) / NS_PER_MS
 
     def describe(self) -> str:
-        """Tell where it ran, and from when to when by the wall clock, as logs do."""
-        wall_ns = time.time_ns() - time.monotonic_ns()
-        began_ms = (self.began_ns + wall_ns) / NS_PER_MS
-        ended_ms = (self.ended_ns + wall_ns) / NS_PER_MS
+        """Describe the run for a report, in wall-clock times as in logs."""
+        wall_offset_ns = time.time_ns() - time.monotonic_ns()
+        began_ms = (self.began_ns + wall_offset_ns) / NS_PER_MS
+        ended_ms = (self.ended_ns + wall_offset_ns) / NS_PER_MS
         return (
-            f"attempt {self.attempt} at runner life {self.life} "
+            f"attempt {self.attempt} at runner incarnation {self.life} "
             f"from {began_ms:.3f} to {ended_ms:.3f} {self.how}"
         )
 
 
-def list_runs(history: list[dict], killed_ns: dict[int, int]) -> list[SeenRun]:
-    """Return the runs of one life of a runner; what was at work when it was killed ended then."""
-    runs: list[SeenRun] = []
-    at_work: dict[str, SeenRun] = {}
+def list_runs(history: list[dict], killed_ns: dict[int, int]) -> list[ObservedRun]:
+    """Return the runs of one runner incarnation; a kill ends the runs that are active then."""
+    runs: list[ObservedRun] = []
+    active: dict[str, ObservedRun] = {}
     for row in history:
         if row["how"] == "started":
-            run = SeenRun(row["task"], row["attempt"], row["life"], row["steady_ns"])
+            run = ObservedRun(row["task"], row["attempt"], row["life"], row["steady_ns"])
             runs.append(run)
-            at_work[run.task] = run
+            active[run.task] = run
         elif row["how"] in ENDS:
-            run = at_work.pop(row["task"])
+            run = active.pop(row["task"])
             run.ended_ns, run.how = row["steady_ns"], row["how"]
-    for run in at_work.values():
+    for run in active.values():
         if run.life in killed_ns:
             run.ended_ns, run.how = killed_ns[run.life], "killed"
     return runs
@@ -61,17 +61,17 @@
 def check_runs(
     histories: list[list[dict]], jobs: list[SubmittedJob], killed_ns: dict[int, int]
 ) -> list[str]:
-    """Return the promises that the histories of all lives of runners show to be broken."""
-    by_task: dict[str, list[SeenRun]] = defaultdict(list)
-    broken = []
+    """Return the violations of promises in the histories of all runner incarnations."""
+    by_task: dict[str, list[ObservedRun]] = defaultdict(list)
+    violations = []
     for history in histories:
         runs = list_runs(history, killed_ns)
-        broken += find_over_capacity(runs)
+        violations += find_over_capacity(runs)
         for run in runs:
             by_task[run.task].append(run)
     by_id = {job.job_id: job for job in jobs}
     for task, runs in by_task.items():
-        broken += find_overlaps(task, runs, by_id.get(_job_id(task)))
+        violations += find_overlaps(task, runs, by_id.get(_job_id(task)))
     durable = {job.job_id for job in jobs if job.durable}
     counted = {
         (row["task"], row["attempt"])
@@ -81,22 +81,22 @@
     }
     for task, runs in by_task.items():
         if _job_id(task) in durable:
-            broken += find_starts_after_end(task, runs, counted)
+            violations += find_starts_after_end(task, runs, counted)
     started = {_job_id(task) for task in by_task}
-    broken += [
+    violations += [
         f"{job.job_id} was refused and ran" for job in jobs if job.job_id in started and job.refused
     ]
-    return broken
+    return violations
 
 
 def _job_id(task: str) -> str:
     return task.partition(".")[0]
 
 
-def find_overlaps(task: str, runs: list[SeenRun], job: SubmittedJob | None) -> list[str]:
-    """Return all pairs of runs of a task that were at work at once, however shortly."""
+def find_overlaps(task: str, runs: list[ObservedRun], job: SubmittedJob | None) -> list[str]:
+    """Return all pairs of runs of a task that were active at once, however briefly."""
     return [
-        f"overlap of {one.overlap_ms(other):.3f} ms: {task} {one.describe()}, beside "
+        f"overlap of {one.overlap_ms(other):.3f} ms: {task} {one.describe()}, and "
         f"{other.describe()}; {'durable' if job and job.durable else 'waiting'}, "
         f"{job and job.submissions}"
         for one, other in combinations(runs, 2)
@@ -105,9 +105,9 @@
 
 
 def find_starts_after_end(
-    task: str, runs: list[SeenRun], counted: set[tuple[str, int]]
+    task: str, runs: list[ObservedRun], counted: set[tuple[str, int]]
 ) -> list[str]:
-    """Return the starts of a stored task after an end as done that counts."""
+    """Return the starts of a durable task after a "done" end that counts."""
     done = [run for run in runs if run.how == "done" and (task, run.attempt) in counted]
     return [
         f"{task} {run.describe()} after {end.describe()}"
@@ -118,9 +118,9 @@
 
 
 def find_earlier_ends(entry_lines: list[dict], histories: list[list[dict]]) -> list[str]:
-    """Return the ends that an entry counted for a waiting job that it began only after them.
+    """Return the ends that an entry counted for a submission that began after them.
 
-    Runners and entries share the machine's wall clock.
+    Runners and entries share the machine's wall clock, so their times can be compared.
     """
     ended_ms = {
         (row["task"], row["attempt"], f"i-{row['life']:08x}"): row["wall_ms"]
@@ -129,26 +129,26 @@
         if row["how"] in ENDS
     }
     begun_ms: dict[str, int] = {}
-    earlier = []
+    violations = []
     for line in entry_lines:
         if line["event"] == "job_begun":
             begun_ms[line["request"]] = line["t_ms"]
         elif line["event"] == "task_ended":
             end_ms = ended_ms.get((line["task"], line["attempt"], line["runner"]), math.inf)
-            ahead_ms = begun_ms.get(line["request"], 0) - end_ms
-            if ahead_ms > 0:
-                earlier.append(
+            lead_ms = begun_ms.get(line["request"], 0) - end_ms
+            if lead_ms > 0:
+                violations.append(
                     f"earlier end: {line['task']} attempt {line['attempt']} at {line['runner']} "
-                    f"{line['end']} {ahead_ms} ms before its job was begun"
+                    f"{line['end']} {lead_ms} ms before its job began"
                 )
-    return earlier
+    return violations
 
 
-def find_over_capacity(runs: list[SeenRun]) -> list[str]:
-    """Return the starts that brought one life of a runner over its room."""
-    over = []
+def find_over_capacity(runs: list[ObservedRun]) -> list[str]:
+    """Return the starts that exceeded the capacity of one runner incarnation."""
+    violations = []
     for run in runs:
-        beside = [other for other in runs if other.began_ns <= run.began_ns < other.ended_ns]
-        if len(beside) * TASK_CPU_MILLI > RUNNER_CPU_MILLI:
-            over.append(f"room: {run.task} {run.describe()} beside {len(beside) - 1} others")
-    return over
+        active = [other for other in runs if other.began_ns <= run.began_ns < other.ended_ns]
+        if len(active) * TASK_CPU_MILLI > RUNNER_CPU_MILLI:
+            violations.append(f"room: {run.task} {run.describe()} beside {len(active) - 1} others")
+    return violations
