--- a/features/steps/test_system_steps.py
+++ b/features/steps/test_system_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the harness that starts systems for tests."""
+"""Steps on the test harness that starts systems."""
 
 import subprocess
 import sys
--- a/tools/local_system.py
+++ b/tools/local_system.py
@@ -1,4 +1,4 @@
-"""Starts the processes of a whole system on loopback, for demo, benchmark and tests."""
+"""Starts the processes of a whole system on loopback, for demos, benchmarks and tests."""
 
 import fcntl
 import json
@@ -27,7 +27,7 @@
 LOWEST_PORT = 12_000
 HIGHEST_PORT = 32_000
 PORT_BLOCK = 100
-# Blocks of ports that processes on this machine have taken, a locked file for each.
+# A locked file for each block of ports that a process on this machine has reserved.
 PORT_LOCKS = Path(tempfile.gettempdir()) / "gapdrum-ports"
 CREDENTIALS = [
     {"name": "site-tablet", "token": CALLER_TOKEN, "role": "caller"},
@@ -44,9 +44,9 @@
 
 
 def _list_ports() -> Iterator[int]:
-    """Yield the ports of blocks that no other process holds, for as long as this one lives.
+    """Yield the ports of blocks that this process locks until it ends.
 
-    A port is free until its process listens, so a look at it alone would give it to two systems.
+    A port is free until its process listens, so without locks two systems could get the same one.
     """
     locks: dict[int, IO[str]] = {}
     while True:
@@ -58,11 +58,11 @@
                 locks[first] = lock
             yield from range(first, first + PORT_BLOCK)
         if not locks:
-            raise OSError("other processes hold all blocks of ports")
+            raise OSError("all blocks of ports are locked by other processes")
 
 
 def _lock_block(first: int) -> IO[str] | None:
-    """Take a block of ports; None if another process holds it. The file must stay open."""
+    """Lock a block of ports; None if another process holds it. The file must stay open."""
     PORT_LOCKS.mkdir(exist_ok=True)
     lock = (PORT_LOCKS / str(first)).open("w")
     try:
@@ -77,7 +77,7 @@
 
 
 def find_port() -> int:
-    """Return a port that is free now, given out once, and below the ephemeral range.
+    """Return a free port below the ephemeral range, which is not returned again.
 
     A port of the ephemeral range could be taken by an outgoing connection
     before its process listens.
@@ -94,7 +94,7 @@
 
 @attrs.define
 class Process:
-    """A started process, its port and the command to start it again."""
+    """A process, its port and the command that starts it."""
 
     name: str
     command: list[str]
@@ -104,22 +104,22 @@
     environment: dict[str, str] | None = None
 
     def start(self) -> None:
-        """Start it, with its log in a file."""
+        """Start the process and append its output to the log file."""
         with self.log_path.open("ab") as log:
             self.popen = subprocess.Popen(
                 self.command, stdout=log, stderr=log, env=self.environment
             )
 
     def signal(self, number: int) -> None:
-        """Send it a signal, unless it has ended: its id may be another process's by now."""
+        """Send a signal, unless the process has ended: its id may be reused by then."""
         self.popen.send_signal(number)
 
     def wait(self, timeout_s: float = 30) -> int:
-        """Wait for its end and return the exit code."""
+        """Wait until the process ends and return its exit code."""
         return self.popen.wait(timeout_s)
 
     def kill(self) -> None:
-        """End it at once."""
+        """Kill the process, even if it is paused."""
         if self.popen is not None and self.popen.poll() is None:
             self.signal(signal.SIGCONT)
             self.popen.kill()
@@ -127,18 +127,18 @@
 
 
 def wait_for(condition, what: str, timeout_s: float = READY_TIMEOUT_S) -> None:
-    """Wait until a condition holds; fails loudly after a generous bound."""
+    """Wait until a condition holds; raise ``TimeoutError`` after the time limit."""
     limit = time.monotonic() + timeout_s
     while not condition():
         if time.monotonic() > limit:
-            raise TimeoutError(f"waited in vain for: {what}")
+            raise TimeoutError(f"timed out waiting for: {what}")
         time.sleep(POLL_S)
 
 
 class LocalSystem:
     """A platform stand-in, entries, and runners with their agents.
 
-    Use it as a context manager; leaving it ends every process it started::
+    Use it as a context manager; leaving the context kills all processes::
 
         with LocalSystem(entries=3, runners=[("inspect-desk", zone, 8)] * 11) as system:
             system.request("POST", "/v1/jobs", body)
@@ -163,7 +163,7 @@
         self.pool = urllib3.PoolManager(maxsize=256, retries=False, timeout=130)
 
     def __enter__(self) -> "LocalSystem":
-        """Start everything and wait until work is taken."""
+        """Start all processes and wait until jobs can be placed."""
         try:
             self._start_all()
         except BaseException:
@@ -181,7 +181,7 @@
         self.wait_runners(len(self.agents))
 
     def __exit__(self, *_error: object) -> None:
-        """End everything."""
+        """Kill all processes."""
         for process in self.processes():
             process.kill()
 
@@ -190,7 +190,7 @@
         return [*self.upstreams, *self.agents, *self.entries, self.platform]
 
     def url(self, process: Process, path: str) -> str:
-        """Return a URL at a process."""
+        """Return the URL of a path at a process."""
         return f"http://{HOST}:{process.port}{path}"
 
     def request(
@@ -201,7 +201,7 @@
         entry: int = 0,
         token: str = CALLER_TOKEN,
     ) -> tuple[int, dict]:
-        """Call an entry and return status and document."""
+        """Call an entry; return the status and the document."""
         body = json.dumps(document).encode() if document is not None else None
         headers = {"Authorization": f"Bearer {token}"}
         url = self.url(self.entries[entry], path)
@@ -213,12 +213,12 @@
         return json.loads(self.pool.request("GET", self.url(process, path)).data)
 
     def set_fault(self, **fault: object) -> None:
-        """Set a fault of the platform stand-in; none clears it."""
+        """Set a fault of the platform stand-in; without fields the fault is cleared."""
         body = json.dumps(fault).encode()
         self.pool.request("POST", self.url(self.platform, "/faults"), body=body)
 
     def count_starts(self) -> dict[str, int]:
-        """Return starts per task as the runners that live have seen them."""
+        """Return the starts of each task that the running runners have counted."""
         starts: dict[str, int] = {}
         for upstream in self.upstreams:
             if upstream.popen.poll() is None:
@@ -242,7 +242,7 @@
         self.wait_for(lambda: self._answers(process, path), f"{process.name} {path}")
 
     def wait_runners(self, count: int) -> None:
-        """Wait until every entry sees so many runners that take work."""
+        """Wait until every entry sees at least ``count`` ready runners."""
         for entry in self.entries:
             self.wait_for(
                 lambda entry=entry: self._gauge(entry, "gapdrum_runners_ready") >= count,
@@ -250,7 +250,7 @@
             )
 
     def wait_for(self, condition, what: str, timeout_s: float = READY_TIMEOUT_S) -> None:
-        """Wait until a condition holds; fails loudly after a generous bound."""
+        """Wait until a condition holds; the error names the folder of the logs."""
         wait_for(condition, f"{what} (logs in {self.folder})", timeout_s)
 
     def _gauge(self, process: Process, name: str) -> float:
--- a/tools/platform_system.py
+++ b/tools/platform_system.py
@@ -1,4 +1,4 @@
-"""Starts entries, agents and stand-ins of the users' platform on loopback, for tests and demo."""
+"""Starts entries, agents and stand-ins of the users' platform on loopback, for tests and demos."""
 
 import base64
 import json
@@ -19,28 +19,28 @@
 CALLER_HOST = "inspections.example"
 QUEUES = (("flags", "/flags/", 0, 3), ("tags", "/tags/", 1, 2), ("certs", "/certs/", 2, 3))
 RUNNER_CPU_MILLI = 16_000
-RESUBMIT_MS = 1_300  # how long after its connection broke a caller submits its job again
+RESUBMIT_MS = 1_300  # from a broken connection until the caller resubmits its job
 CALL_TIMEOUT_S = 30
-START_S = 1.0  # what a process may add to the time in which a system starts on a busy machine
+START_S = 1.0  # extra start-up time allowed for each process, for busy machines
 PLANTED = Path(__file__).parent / "planted.py"
 
 
 @attrs.frozen
 class RunnerPace:
-    """How fast a runner works, and the rack that it stands in."""
+    """A runner's speed and rack."""
 
     speed: float = 1.0
     rack: str = "r1"
 
 
 class PlatformSystem:
-    """A row store, entries, and agents with their runners; leaving it ends all it started.
+    """A row store, entries, and agents with their runners; leaving the context ends all processes.
 
-    ``store_ports`` may put something between a process and the store, such as a proxy: it is
-    called with the store's port for each process and returns the port to use. ``stream_ports``
-    does the same for the streams of agents to each entry. ``planted`` names a mechanism that
-    ``planted.py`` switches off in all entries and agents. Runners take ``paces`` by turns; all
-    work ``far_factor`` times as long away from the rack of a task's data.
+    ``store_ports`` can insert a proxy between a process and the store: it is called with the
+    store's port for each process and returns the port to use. ``stream_ports`` does the same for
+    the streams of agents to each entry. ``planted`` names a mechanism that ``planted.py`` disables
+    in all entries and agents. Runners take ``paces`` in turn; tasks run ``far_factor`` times as
+    long outside the rack of their data.
 
     ::
 
@@ -77,7 +77,7 @@
             self._add_agent(number)
 
     def __enter__(self) -> "PlatformSystem":
-        """Start everything and wait until work is taken."""
+        """Start all processes and wait until jobs can be placed."""
         try:
             self._start_all()
         except BaseException:
@@ -86,7 +86,7 @@
         return self
 
     def __exit__(self, *_error: object) -> None:
-        """End everything."""
+        """Kill all processes."""
         for process in [*self.runners, *self.agents, *self.entries, self.store]:
             process.kill()
 
@@ -113,17 +113,16 @@
         wait_for(lambda: self._count_room() >= room, "entries see all room", ready_s)
 
     def _is_joined(self, number: int, served: int) -> bool:
-        """Tell whether an agent knows its runner's room and the entries that it serves."""
+        """Tell whether an agent knows its runner's capacity and the entries that it serves."""
         name = f"agent-{number}"
         joined = {row["entry"] for row in self.events(name, "entry_joined")}
         has_room = self.events(name, "runner_reported") or self.events(name, "runner_listed")
         return len(joined) >= served and bool(has_room)
 
     def _count_room(self) -> float:
-        """Return how many idle runners the entries see, those at several entries again at each.
+        """Return how many idle runners the entries see, summed over the entries.
 
-        What an agent has told may not have been read yet, and a job that finds no room then is
-        refused soon.
+        An entry may not have read an agent's report yet, and refuses jobs that find no room.
         """
         lines = [
             line
@@ -134,7 +133,7 @@
         return sum(map(float, free)) / RUNNER_CPU_MILLI
 
     def put_configuration(self, version: int, queues=QUEUES) -> None:
-        """Write a version of the configuration, as operators do."""
+        """Write a version of the configuration to the store, as operators do."""
         routes = [
             {
                 "name": name,
@@ -176,7 +175,7 @@
         }
         self.call(self.store.port, "POST", "/rows-tx", document)
 
-    # Calls.
+    # Calls
 
     def call(
         self,
@@ -186,7 +185,7 @@
         document: object = None,
         headers: dict | None = None,
     ) -> tuple[int, dict]:
-        """Call a process and return status and document."""
+        """Call a process; return the status and the document."""
         body = json.dumps(document).encode() if document is not None else None
         response = self.pool.request(
             method, f"http://{HOST}:{port}{path}", body=body, headers=headers or {}
@@ -204,7 +203,7 @@
         queue: str = "/flags/",
         **spec: object,
     ) -> tuple[int, dict]:
-        """Submit a job whose tasks each run so long."""
+        """Submit a job whose tasks each run for ``run_ms``."""
         document = {"spec": json.dumps({"run_ms": run_ms, **spec}), "steps": steps}
         if waits:
             document["best_effort"] = True
@@ -218,7 +217,7 @@
         return self.call(port, method, path, document, {"Host": CALLER_HOST})
 
     def state(self, job_id: str, entry: int = 0) -> str:
-        """Return a job's state, or the status of the answer if it is none."""
+        """Return a job's state, or the HTTP status if the answer is an error."""
         try:
             status, document = self.caller("GET", f"/flags/{job_id}", entry=entry)
         except urllib3.exceptions.HTTPError:
@@ -226,21 +225,21 @@
         return document.get("state", str(status)) if status == 200 else str(status)
 
     def wait_final_state(self, job_id: str, entry: int = 0) -> str:
-        """Wait until a stored job has ended, and return its state."""
+        """Wait until a durable job has ended, and return its state."""
         final = ("succeeded", "failed", "cancelled")
         wait_for(lambda: self.state(job_id, entry) in final, f"{job_id} ends")
         return self.state(job_id, entry)
 
     def set_store_fault(self, **fault: object) -> None:
-        """Set a fault of the store; none clears it."""
+        """Set a fault of the store; without fields the fault is cleared."""
         self.call(self.store.port, "POST", "/faults", fault)
 
     def set_runner_fault(self, runner: int, **fault: object) -> None:
-        """Set a fault of a runner; none clears it."""
+        """Set a fault of a runner; without fields the fault is cleared."""
         self.call(self.runners[runner].port, "POST", "/faults", fault)
 
     def history(self) -> list[dict]:
-        """Return all starts and ends that the living runners have seen, in order of time."""
+        """Return all starts and ends that the running runners have recorded, in order of time."""
         rows: list[dict] = []
         for runner in self.runners:
             if runner.popen is not None and runner.popen.poll() is None:
@@ -248,21 +247,21 @@
         return sorted(rows, key=lambda row: row["wall_ms"])
 
     def histories(self) -> list[list[dict]]:
-        """Return what each life of each runner has seen, also of those that were killed."""
-        lives: list[list[dict]] = []
+        """Return the records of each incarnation of each runner, including killed ones."""
+        incarnations: list[list[dict]] = []
         for path in sorted(self.folder.glob("runner-*.history")):
             rows = [json.loads(line) for line in path.read_text().splitlines()]
             for life in {row["life"]: None for row in rows}:
-                lives.append([row for row in rows if row["life"] == life])
-        return lives
+                incarnations.append([row for row in rows if row["life"] == life])
+        return incarnations
 
     def metrics(self, name: str) -> str:
-        """Return the text at a process's metrics address."""
+        """Return the text of a process's metrics endpoint."""
         url = f"http://{HOST}:{self.metrics_ports[name]}/metrics"
         return self.pool.request("GET", url).data.decode()
 
     def events(self, name: str, event: str) -> list[dict]:
-        """Return the lines of one event in a process's log."""
+        """Return the log lines of one event of a process."""
         lines = (self.folder / f"{name}.log").read_text().splitlines()
         rows = [json.loads(line) for line in lines if line.startswith("{")]
         return [row for row in rows if row.get("event") == event]
@@ -273,7 +272,7 @@
         except urllib3.exceptions.HTTPError:
             return 0
 
-    # Processes.
+    # Processes
 
     def _add_entry(self, number: int) -> None:
         port, ready = find_port(), find_port()
@@ -290,7 +289,7 @@
         control, port = find_port(), find_port()
         listen = f'control = "{HOST}:{control}"\n'
         name = f"agent-{number}"
-        # The runner stands in for the platform's list of machines, too, and lists itself.
+        # The runner also stands in for the platform's list of machines, which contains only itself.
         listen += f'[cloud_api]\naddress = "{HOST}:{port}"\n'
         app = f'app = "{HOST}:{port}"\n'
         settings = self._write_settings(name, number, listen, app, find_port())
