--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -1,8 +1,8 @@
-"""Prints what each mechanism of the decisions is worth in replays of loads.
+"""Prints the effect of each dispatch mechanism in replays of loads.
 
     python tools/ablation.py --seeds 6
 
-A row is a mechanism that is off, or one that takes another's place; the first row has all on.
+Each row is a mechanism that is disabled or replaced; in the first row all are enabled.
 """
 
 import argparse
@@ -62,12 +62,12 @@
 
 
 def main() -> None:
-    """Replay all cases, and print a table."""
+    """Replay all cases and print a table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=6, help="replays of each case, at least 2")
-    parser.add_argument("--jobs", type=int, default=4, help="replays at a time")
-    parser.add_argument("--loads", nargs="*", help="loads; all if none is named")
-    parser.add_argument("names", nargs="*", help="changes; all if none is named")
+    parser.add_argument("--jobs", type=int, default=4, help="replays in parallel")
+    parser.add_argument("--loads", nargs="*", help="loads; default: all")
+    parser.add_argument("names", nargs="*", help="changes; default: all")
     arguments = parser.parse_args()
     names = arguments.names or ["", *SWITCHES, *ALTERNATIVES]
     loads = arguments.loads or list(LOADS)
--- a/tools/bench.py
+++ b/tools/bench.py
@@ -1,7 +1,7 @@
-"""The benchmark: placement policies on one trace, and one entry at its limit.
+"""Benchmarks: placement policies on one trace, one entry at its limit, settings changes.
 
-All figures of a table come from one run on one system, so their ratios can be
-compared where absolute times are noisy.
+All figures of a table come from one run on one system, so that their ratios are
+comparable although absolute times vary.
 """
 
 import json
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class Row:
-    """What one policy reached."""
+    """The figures of one policy."""
 
     placement: str
     queue_order: str
@@ -53,7 +53,7 @@
 
 
 def set_policy(system: LocalSystem, placement: str, queue_order: str, queue_limit: int) -> None:
-    """Bring a policy into force at all entries."""
+    """Set a policy and wait until it is in force at all entries."""
     version = system.request("GET", "/v1/config", token=OPERATOR_TOKEN)[1]["version"]
     values = {
         "placement": placement,
@@ -112,7 +112,7 @@
 
 
 def bench_limit() -> None:
-    """Drive one entry with more short tasks than it can place; print what it held."""
+    """Overload one entry with short tasks; print its throughput and CPU use."""
     options = {"http_threads": LIMIT_CALLERS + 16}
     with LocalSystem(entries=1, runners=LIMIT_RUNNERS, entry_options=options) as system:
         finish_at = time.monotonic() + LIMIT_SECONDS
@@ -138,7 +138,7 @@
 
 
 def bench_settings() -> None:
-    """Print how long accepted changes take to be in force everywhere, and acknowledged."""
+    """Print how long accepted changes take until all processes acknowledge them as in force."""
     times_ms = []
     with LocalSystem(entries=3, runners=RUNNERS) as system:
         for version in range(1, SETTINGS_CHANGES + 1):
@@ -159,7 +159,7 @@
 
 
 def submit_batch(system: LocalSystem, key: str) -> int:
-    """Submit one job of tasks that take no time; return how many were done."""
+    """Submit one job of empty tasks; return how many were done."""
     document = {
         "key": key,
         "team": "bench",
@@ -175,7 +175,7 @@
 
 
 def read_cpu_s(pid: int) -> float:
-    """Return the processor time that a process has used."""
+    """Return the CPU time that a process has used, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / 100
 
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -1,7 +1,7 @@
-"""Measures the slopes behind docs/CAPACITY.md, with stand-in agents in one process.
+"""Measures the costs per agent and per task for docs/CAPACITY.md, with simulated agents.
 
-One entry is driven by growing numbers of agents and of tasks; processor time,
-memory and messages are read from the outside and from its metrics.
+One entry serves growing numbers of agents and of tasks; CPU time and memory are read
+from /proc, messages from its metrics.
 """
 
 import asyncio
@@ -37,7 +37,7 @@
 
 
 class NullAgent:
-    """An agent that reports every order as done at once; it costs an entry what a real one does."""
+    """An agent that reports each order as done at once; it costs an entry as much as a real one."""
 
     def __init__(self, number: int, port: int) -> None:
         self.number = number
@@ -45,18 +45,18 @@
         self.received = 0
 
     async def run(self) -> None:
-        """Serve until the stream ends."""
+        """Answer orders until the stream ends."""
         self.stream = await open_stream(HOST, self.port, Counter(), Counter())
         now_ms = time.monotonic_ns() // 1_000_000
         name = f"null-{self.number}"
         self.stream.send(AgentHello(name, "life", "plaine-nord", name, STREAM_TOKEN, now_ms))
-        beat = asyncio.get_running_loop().create_task(self._beat())
+        heartbeat_task = asyncio.get_running_loop().create_task(self._send_heartbeats())
         async for message in self.stream:
             if isinstance(message, PlaceTasks):
                 self._finish(message)
-        beat.cancel()
+        heartbeat_task.cancel()
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while not self.stream.closed:
             now_ms = time.monotonic_ns() // 1_000_000
             load = RunnerLoad("inspect-desk", "ready", SLOTS, 0, SLOTS, self.received, now_ms, 0)
@@ -73,12 +73,12 @@
 
 
 async def serve_agents(port: int, count: int) -> None:
-    """Run so many stand-in agents in this process."""
+    """Run ``count`` simulated agents in this process."""
     await asyncio.gather(*(NullAgent(number, port).run() for number in range(count)))
 
 
 def read_rss_mb(pid: int) -> float:
-    """Return the resident memory of a process."""
+    """Return the resident memory of a process in MB."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS"):
             return round(int(line.split()[1]) / 1024, 1)
@@ -86,7 +86,7 @@
 
 
 def measure(count: int) -> None:
-    """Measure one entry with so many agents, idle and under load."""
+    """Measure one entry with ``count`` agents, idle and under load."""
     with LocalSystem(entries=1, entry_options={"http_threads": CALLERS + 16}) as system:
         entry = system.entries[0]
         config = json.loads((system.folder / "entry-0.json").read_text())
@@ -111,7 +111,7 @@
 
 
 def measure_idle(pid: int) -> dict:
-    """Return what the agents' heartbeats cost."""
+    """Return the CPU share and memory of an entry that only receives heartbeats."""
     cpu = read_cpu_s(pid)
     time.sleep(IDLE_SECONDS)
     share = (read_cpu_s(pid) - cpu) / IDLE_SECONDS
@@ -119,7 +119,7 @@
 
 
 def measure_load(system: LocalSystem, pid: int, size: int) -> dict:
-    """Return starts per second and processor time per start for one size of job."""
+    """Return starts per second and CPU time per start for one size of job."""
     finish_at = time.monotonic() + LOAD_SECONDS
     started = time.monotonic()
     cpu = read_cpu_s(pid)
@@ -162,7 +162,7 @@
 
 
 def print_message_sizes() -> None:
-    """Print the bytes of the messages on the path of a task."""
+    """Print the sizes of the messages of a task in bytes."""
     from gapdrum.codec import encode
     from gapdrum.messages import PlacedTask
 
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,4 +1,4 @@
-"""The demo: a whole system on loopback, a day of both workloads, one line of result."""
+"""The demo: replays a day of both workloads on a local system; prints one line of results."""
 
 import json
 import sys
@@ -17,7 +17,7 @@
 
 
 def list_runners() -> list[tuple[str, str, int]]:
-    """Return the runners of both workloads, spread over the zones."""
+    """Return the runners of both workloads, distributed over the zones."""
     return [
         (upstream, ZONES[i % len(ZONES)], SLOTS)
         for upstream in ("inspect-desk", "deskbook")
--- a/tools/make_logs_page.py
+++ b/tools/make_logs_page.py
@@ -1,4 +1,4 @@
-"""Writes docs/LOGS.md from the list of events; ``--check`` only compares."""
+"""Generates docs/LOGS.md from the list of events; ``--check`` only compares."""
 
 import sys
 from pathlib import Path
--- a/tools/make_trace.py
+++ b/tools/make_trace.py
@@ -1,4 +1,4 @@
-"""Makes the recorded traces that the repository ships, from fixed seeds."""
+"""Generates the traces in traces/ from a fixed seed."""
 
 import random
 from pathlib import Path
@@ -14,7 +14,7 @@
 
 @attrs.frozen
 class Kind:
-    """A kind of job: which upstream, how often, how many tasks, how long they run."""
+    """A kind of job: its upstream, relative frequency, number of tasks and duration."""
 
     name: str
     upstream: str
@@ -36,7 +36,7 @@
 def make_jobs(
     rng: random.Random, kinds: tuple[Kind, ...], load: float, duration_ms: int
 ) -> list[TracedJob]:
-    """Return jobs that arrive at random times and keep the slots so busy on average."""
+    """Return jobs with random arrival times whose work is ``load`` times the slots' capacity."""
     upstreams = {kind.upstream for kind in kinds}
     weights = [kind.weight for kind in kinds]
     capacity_ms = load * SLOTS * len(upstreams) * duration_ms
@@ -72,7 +72,7 @@
 
 
 def add_copies(rng: random.Random, jobs: list[TracedJob]) -> list[TracedJob]:
-    """Let some tablets and kiosks send a job twice or three times at once."""
+    """Let some clients send a job two or three times at once."""
     return [attrs.evolve(job, copies=rng.choice((1, 1, 1, 1, 2, 3))) for job in jobs]
 
 
--- a/tools/message_table.py
+++ b/tools/message_table.py
@@ -1,7 +1,7 @@
-"""Prints how many messages entries and agents exchange, by kind, load and size of the fleet.
+"""Prints how many messages entries and agents exchange, by class, load and size of the fleet.
 
-``python tools/message_table.py`` plays one second of each load in virtual time; add ``subsets``
-to let each agent serve all entries, for comparison.
+``python tools/message_table.py`` replays one second of each load in virtual time; with ``subsets``
+each agent serves all entries, for comparison.
 """
 
 import sys
@@ -12,14 +12,14 @@
 from loads import MS_PER_S, large_fleet
 
 SIZES = ((4, 11), (12, 67), (35, 160))
-# Of the room: 87%, and a little more than fits.
+# Factors of the load: 87% of the capacity, and slightly more than all of it.
 LOADS = {"usual": 1.2, "overload": 1.6}
 IDLE = 1e-6
 DURATION_MS = 1_000
 
 
 def print_columns(entries: int, agents: int) -> None:
-    """Print the rows of one size."""
+    """Print the figures of one size of fleet."""
     idle = VirtualFleet(large_fleet(1, DURATION_MS, IDLE, entries, agents))
     idle.run()
     print(f"{entries} x {agents}, idle: {per_second(idle.messages)} messages a second")
@@ -35,12 +35,12 @@
 
 
 def per_second(messages: Counter) -> int:
-    """Return the messages of a second."""
+    """Return the number of messages per second."""
     return messages.total() * MS_PER_S // DURATION_MS
 
 
 def main() -> None:
-    """Print the table, with the mechanism that is named switched off."""
+    """Print the table, with the named mechanism disabled."""
     with changed(sys.argv[1] if len(sys.argv) > 1 else ""):
         for entries, agents in SIZES:
             print_columns(entries, agents)
--- a/tools/platform_demo.py
+++ b/tools/platform_demo.py
@@ -1,4 +1,4 @@
-"""The second half of the demo: the same product on a stand-in of the users' platform."""
+"""The second half of the demo: jobs on stand-ins of the users' platform."""
 
 import json
 
@@ -9,7 +9,7 @@
 
 
 def run_platform_demo() -> int:
-    """Serve jobs of both kinds; return how many did not succeed."""
+    """Run durable and non-durable jobs; return how many did not succeed."""
     print(f"starting the row store, {ENTRIES} entries, {AGENTS} agents and runners")
     states: dict[str, int] = {}
     with PlatformSystem(ENTRIES, AGENTS) as system:
