--- a/features/steps/load_steps.py
+++ b/features/steps/load_steps.py
@@ -22,10 +22,10 @@
     "overload": overload,
     "steady": steady,
     "large fleet": large_fleet,
-    # A third of the fleet and its load, and the busiest seconds of a drain.
+    # A third of the fleet and its load; of the drain only the busiest seconds.
     "long work": functools.partial(long_work, duration_ms=13_000, factor=1.3, entries=4, agents=22),
     "drained zone": functools.partial(drained_zone, duration_ms=9_500, factor=1.15),
-    # A third of the fleet without the rare long tasks, at 40% and 80% of the room.
+    # A third of the fleet without long tasks, at 40% and 80% of the capacity.
     "uneven runners": functools.partial(
         uneven, duration_ms=5_000, entries=4, agents=21, long_share=0.0
     ),
@@ -40,21 +40,21 @@
 SEEDS = (1, 2)
 
 
-@when('the first {seconds:d} s of the load "{name}" of seed {seed:d} are played twice')
-def play_twice(context, seconds, name, seed):
+@when('the first {seconds:d} s of the load "{name}" of seed {seed:d} are replayed twice')
+def replay_twice(context, seconds, name, seed):
     load = attrs.evolve(LOADS[name](seed), duration_ms=1_000 * seconds)
     context.reports = [replay(load), replay(load)]
 
 
-@then("both times each caller gets the same")
-def same(context):
+@then("both replays have the same result")
+def same_result(context):
     first, second = context.reports
     assert first == second, (first, second)
 
 
 @functools.cache
 def play(name, change="", seeds=SEEDS):
-    """Return what became of a load, once for all scenarios that ask."""
+    """Return the reports of a load; they are cached for other scenarios."""
     with changed(change):
         return [replay(LOADS[name](seed)) for seed in seeds]
 
--- a/tools/load_policies.py
+++ b/tools/load_policies.py
@@ -1,6 +1,6 @@
-"""Mechanisms that replays of loads can switch off, and others that can take their place.
+"""Mechanisms that replays of loads can disable or replace by alternatives.
 
-Each function returns the patches that make the change, for as long as they are entered::
+Each function returns the patches that make the change while they are entered::
 
     with changed("begun_first"):
         report = replay(overload(seed=1))
@@ -43,20 +43,20 @@
 
 
 def switch(function: Callable[[], Patches]) -> Callable[[], Patches]:
-    """Register a function that switches a mechanism off."""
+    """Register a function that disables a mechanism, under its name."""
     SWITCHES[function.__name__] = function
     return function
 
 
 def alternative(function: Callable[[], Patches]) -> Callable[[], Patches]:
-    """Register a function that puts something else in a mechanism's place."""
+    """Register a function that replaces a mechanism, under its name."""
     ALTERNATIVES[function.__name__] = function
     return function
 
 
 @contextmanager
 def changed(name: str) -> Iterator[None]:
-    """Change a mechanism for a while; an empty name changes nothing."""
+    """Apply a change within the context; an empty name changes nothing."""
     with ExitStack() as stack:
         for patch in {**SWITCHES, **ALTERNATIVES, "": list}[name]():
             stack.enter_context(patch)
@@ -71,19 +71,19 @@
 
 @switch
 def begun_first() -> Patches:
-    """Let jobs that have begun wait like new ones."""
+    """Give jobs that have begun no precedence over new ones."""
     return [mock.patch.object(placement_rules, "priority_class", lambda *_: PriorityClass.NEW)]
 
 
 @switch
 def begin_by() -> Patches:
-    """Begin jobs until their stated work could not end in time any more."""
+    """Begin jobs as long as their estimated work can end in time."""
     return [mock.patch.object(jobs, "BEGIN_SHARE", 1.0)]
 
 
 @switch
 def time_left() -> Patches:
-    """Let new jobs wait in the order in which they came."""
+    """Order new jobs by arrival instead of by the time left."""
 
     def order(job: jobs.Job, now_ms: int) -> tuple:
         return (placement_rules.priority_class(job, now_ms), job.accepted_ms, job.job_id)
@@ -93,25 +93,25 @@
 
 @switch
 def priority() -> Patches:
-    """Pass over the priorities of queues."""
+    """Ignore the priorities of queues."""
     return [mock.patch.object(placement_rules, "PRIORITY_WEIGHT", 1.0)]
 
 
 @switch
 def urgency() -> Patches:
-    """Offer room to any entry where work waits."""
+    """Offer room to any entry with waiting work, whatever its urgency."""
     return [mock.patch.object(placer, "urgency_of", lambda *_: 1)]
 
 
 @switch
 def offers() -> Patches:
-    """Keep freed room for nobody."""
+    """Make no offers of freed room."""
     return [mock.patch.object(RoomOffers, "make", lambda *_: None)]
 
 
 @switch
 def demand_size() -> Patches:
-    """Offer room without asking whether a task that waits would fit."""
+    """Offer room without checking that a waiting task fits."""
     return [mock.patch.object(Placer, "_least_waiting", lambda *_: _Zeros())]
 
 
@@ -122,19 +122,19 @@
 
 @switch
 def offering_on() -> Patches:
-    """Let an entry keep the rest of what was offered to it."""
+    """Do not offer the unused rest of an offer to the next entry."""
     return [mock.patch.object(EntryNotifier, "reoffer_room", lambda *_: None)]
 
 
 @switch
 def refusing_at_once() -> Patches:
-    """Refuse nothing on its arrival."""
+    """Refuse no job on arrival."""
     return [mock.patch.object(admission, "WAIT_TOLERANCE_FACTOR", NEVER)]
 
 
 @switch
 def runner_speeds() -> Patches:
-    """Take all runners as equally fast, but for those that are much slower than is usual."""
+    """Assume the usual speed for all runners, except for runners that are much slower."""
     measure = fleet_speeds.measure_speeds
 
     def measure_usual(views: Sequence) -> fleet_speeds.FleetSpeeds:
@@ -145,7 +145,7 @@
 
 @switch
 def waiting_for_better() -> Patches:
-    """Start tasks where they end late as well, if there is room."""
+    """Start tasks wherever there is room, even if they end late there."""
     return [
         mock.patch.object(expected_end.CompletionForecast, "is_worth_waiting", lambda *_: False)
     ]
@@ -153,61 +153,63 @@
 
 @switch
 def candidates() -> Patches:
-    """Take the first runner that has room."""
+    """Consider only one candidate runner."""
     return [mock.patch.object(placement_rules, "CANDIDATES", 1)]
 
 
 @switch
 def ejection() -> Patches:
-    """Let runners that fail or stand still get work like others."""
+    """Do not eject runners that fail or stall."""
     return [mock.patch.object(runner_health, "FAILURES_UNTIL_SUSPECT", NEVER)]
 
 
 @switch
 def short_rests() -> Patches:
-    """Let suspect runners rest for 5 s."""
+    """Eject suspect runners for only 5 s."""
     return [mock.patch.object(runner_health, "EJECTION_MS", 5_000)]
 
 
 @switch
 def moves() -> Patches:
-    """Leave runs where they straggle."""
+    """Do not move stragglers."""
     return [mock.patch.object(StragglerPolicy, "judge", lambda *_: MoveDecision(False, None, None))]
 
 
 @switch
 def move_costs() -> Patches:
-    """Move runs that crawl without asking whether they would end sooner."""
+    """Move slow runs without checking that they would end sooner."""
     return [mock.patch.object(stragglers, "_is_sooner", lambda there_ms, _: there_ms is not None)]
 
 
 @switch
 def room_shares() -> Patches:
-    """Keep no room for urgent work."""
+    """Reserve no room for urgent work."""
     return [mock.patch.object(core_room_shares, "HEADROOM_DEVIATIONS", 0.0)]
 
 
 @switch
 def drained_served() -> Patches:
-    """Let agents serve entries of drained zones like others."""
+    """Let agents serve no extra entries of drained zones."""
     return [mock.patch.object(core_subsets, "EXTRA_DRAINED_ENTRIES", 0)]
 
 
 @alternative
 def most_worth_first() -> Patches:
-    """Let new jobs wait by what their queue's usual job earns for each core-second."""
-    return [mock.patch.object(placer, "waiting_order", _order_by(lambda job: -_density(job)))]
+    """Order new jobs by the worth per core-second of their queue's usual job."""
+    return [
+        mock.patch.object(placer, "waiting_order", _order_by(lambda job: -_worth_per_work(job)))
+    ]
 
 
 @alternative
 def least_work_first() -> Patches:
-    """Let new jobs wait by the work that they state, the smallest first."""
-    return [mock.patch.object(placer, "waiting_order", _order_by(_stated_work))]
+    """Order new jobs by their estimated work, the smallest first."""
+    return [mock.patch.object(placer, "waiting_order", _order_by(_estimated_work))]
 
 
 @alternative
 def shortest_first() -> Patches:
-    """Let new jobs wait by the time that they state, the shortest first."""
+    """Order new jobs by their estimated duration, the shortest first."""
     return [mock.patch.object(placer, "waiting_order", _order_by(lambda job: job.chain_ms))]
 
 
@@ -218,7 +220,7 @@
     return order
 
 
-def _stated_work(job: jobs.Job) -> float:
+def _estimated_work(job: jobs.Job) -> float:
     return sum(
         task.step.resources.cpu_milli * task.step.estimate_ms
         for task in job.tasks
@@ -226,7 +228,7 @@
     )
 
 
-def _density(job: jobs.Job) -> float:
+def _worth_per_work(job: jobs.Job) -> float:
     kind = next(one for one in (*KINDS, *LONG_KINDS, *COMPETING_KINDS) if one.queue == job.queue)
     return kind.worth / (kind.tasks * kind.work_ms * kind.cpu_milli)
 
@@ -235,7 +237,7 @@
     return lambda: [mock.patch.object(target, name, value) for name, value in values.items()]
 
 
-# Other values of limits: what the neighbours of the one in force would be worth.
+# Other values of constants, to compare with the current ones.
 ALTERNATIVES.update(
     begin_by_30=_set(jobs, BEGIN_SHARE=0.3),
     begin_by_70=_set(jobs, BEGIN_SHARE=0.7),
@@ -255,28 +257,28 @@
 
 @alternative
 def fastest_for_long() -> Patches:
-    """Place tasks of a second and more where runs take least against their estimates."""
+    """Place tasks of a second and more where runs are fastest relative to their estimates."""
     score = placement_rules._score
 
-    def prefer_fast(view, task, outlook, field, zone):
-        found = score(view, task, outlook, field, zone)
+    def prefer_fast(view, task, forecast, pool, zone):
+        base_score = score(view, task, forecast, pool, zone)
         if task.step.estimate_ms < 1_000 or not view.slowness_permille:
-            return found
-        usual = field.speeds.usual_permille or view.slowness_permille
-        return (*found[:4], -round(view.slowness_permille / usual, 1), *found[4:])
+            return base_score
+        usual = pool.speeds.usual_permille or view.slowness_permille
+        return (*base_score[:4], -round(view.slowness_permille / usual, 1), *base_score[4:])
 
     return [mock.patch.object(placement_rules, "_score", prefer_fast)]
 
 
 @alternative
 def best_fit() -> Patches:
-    """Place each task where the least room is left."""
+    """Place each task at the runner with the least free room that fits."""
 
-    def choose(job, task, field, _zone, now_ms, _rng):
+    def choose(job, task, pool, _zone, now_ms, _rng):
         views = [
             view
-            for view in field.with_room
-            if placement_rules._may_take(view, job, task, field, now_ms)
+            for view in pool.with_room
+            if placement_rules._may_take(view, job, task, pool, now_ms)
         ]
         return min(views, key=lambda view: view.free.cpu_milli, default=None)
 
@@ -285,24 +287,24 @@
 
 @alternative
 def whole_jobs() -> Patches:
-    """Begin a job only where all its tasks find room at once."""
+    """Begin a job only if all its tasks find room at once."""
     place_job = Placer._place_job
 
-    def place_whole(self, job, field, now_ms):
+    def place_whole(self, job, pool, now_ms):
         ready = job.ready_tasks()
         if job.is_unstarted and ready:
             need = ready[0].step.resources.cpu_milli
-            room = sum(max(0, view.free.cpu_milli) // need for view in field.with_room)
+            room = sum(max(0, view.free.cpu_milli) // need for view in pool.with_room)
             if room < len(ready):
                 return True
-        return place_job(self, job, field, now_ms)
+        return place_job(self, job, pool, now_ms)
 
     return [mock.patch.object(Placer, "_place_job", place_whole)]
 
 
 @alternative
 def one_place_without_delays() -> Patches:
-    """Decide in one place that hears everything at once: a bound of what can be served."""
+    """Use one entry without delays: an upper bound of what can be served."""
     build = load_replay.VirtualFleet
 
     def build_one(load):
--- a/tools/load_replay.py
+++ b/tools/load_replay.py
@@ -1,7 +1,7 @@
-"""Replays a load in virtual time through the real decisions of entries and agents.
+"""Replays a load in virtual time through the real dispatch code of entries and agents.
 
-Only what lies outside of the decisions is replaced: the network (a delay a message), the
-runners, the callers and the clock. A second of load takes less than half a second::
+Only the environment is replaced: the network (a fixed delay for each message), the runners, the
+callers and the clock. Replaying a second of load takes less than half a second::
 
     report = replay(overload(seed=1))
     print(report.worth, report.worst_kind)
@@ -36,16 +36,14 @@
 LATENCY_FACTOR = 1.6
 LATENCY_SLACK_MS = 60
 LATE_VALUE = 0.2
-# The delay of a message, as measured between processes.
-MESSAGE_MS = 1.3
+MESSAGE_MS = 1.3  # the delay of a message, as measured between processes
 POLL_INTERVAL_MS = 200
 TICK_INTERVAL_MS = 50
 LINK_UPDATE_DELAY_MS = 250
 MEMORY_MB = 64_000
-# The load begins when all have found each other.
-WARM_UP_MS = 3_000
+WARM_UP_MS = 3_000  # before the load begins, for entries and agents to connect
 FINISH_MS = 6_000
-# Sound runners differ in speed by so much.
+# The range of speeds of healthy runners.
 SLOWEST, FASTEST = 0.8, 1.25
 
 
@@ -61,7 +59,7 @@
     def send(self, message: object) -> None:
         """Send a message to the entry."""
         self._agent.fleet.count_message(message)
-        self._agent.timers.call_after(MESSAGE_MS, lambda: self._entry.take(self._agent, message))
+        self._agent.timers.call_after(MESSAGE_MS, lambda: self._entry.receive(self._agent, message))
 
 
 class VirtualLinks(list):
@@ -73,7 +71,7 @@
 
 
 class VirtualAgent:
-    """The parts of an agent that decide, and a virtual runner."""
+    """The decision-making parts of an agent, with a virtual runner."""
 
     def __init__(
         self, fleet: "VirtualFleet", number: int, speed: float, capacity: Resources
@@ -103,14 +101,14 @@
         self.controllers[self.controller.runner_id] = self.controller
 
     def open(self, entries: list["VirtualEntry"]) -> None:
-        """Join the entries that it serves, and begin to look, beat and report."""
+        """Connect to the entries that it serves; start to poll and to send heartbeats."""
         self.controller.poll()
         self.update_links(entries, frozenset())
         self.timers.subscribe(POLL_INTERVAL_MS, self.controller.poll)
-        self.timers.subscribe(orders.BEAT_INTERVAL_MS, self._beat)
+        self.timers.subscribe(orders.BEAT_INTERVAL_MS, self._send_heartbeats)
 
     def update_links(self, entries: list["VirtualEntry"], drained: frozenset[str]) -> None:
-        """Join the entries that it serves, beside those that it has joined before."""
+        """Connect to the entries that it should serve; existing links stay."""
         is_open = self.zone not in drained
         candidates = [
             Candidate(
@@ -128,17 +126,17 @@
                 self.links.append(VirtualLink(self, entry))
                 self.notifier.send_full_state(self.links[-1])
 
-    def _beat(self) -> None:
+    def _send_heartbeats(self) -> None:
         for link in self.links:
             link.send(orders.AgentBeat(self.timers.now_ms()))
 
-    def take(self, entry: str, message: object) -> None:
-        """Take a message of an entry."""
+    def receive(self, entry: str, message: object) -> None:
+        """Process a message of an entry."""
         self.orders.take(self.links.of_owner(entry), message)
 
 
 class VirtualEntry:
-    """The parts of an entry that decide; see ``core.outside`` for what they call."""
+    """The decision-making parts of an entry; implements ``core.effects``."""
 
     def __init__(self, fleet: "VirtualFleet", number: int) -> None:
         self.fleet = fleet
@@ -159,13 +157,13 @@
         self.timers.subscribe(TICK_INTERVAL_MS, self._tick)
 
     def join(self, agent: VirtualAgent) -> None:
-        """Take an agent's stream."""
+        """Accept an agent's stream."""
         greeting = orders.AgentGreeting(agent.name, "life", agent.zone, self.timers.now_ms())
         now_ms = self.timers.now_ms()
         self.views[agent.name] = self.dispatch.fleet.agent_joined(greeting, now_ms)
 
-    def take(self, agent: VirtualAgent, message: object) -> None:
-        """Take a message of an agent."""
+    def receive(self, agent: VirtualAgent, message: object) -> None:
+        """Process a message of an agent."""
         now_ms = self.timers.now_ms()
         view = self.views[agent.name]
         if isinstance(message, orders.AgentBeat):
@@ -181,13 +179,13 @@
         elif isinstance(message, orders.Holdings):
             self.dispatch.apply_holdings(view, message, now_ms)
 
-    # What decisions lead to.
+    # Effects of decisions
 
     def send(self, agent: str, message: object) -> bool:
         """Send a message to an agent."""
         target = self.fleet.agents[agent]
         self.fleet.count_message(message)
-        self.timers.call_after(MESSAGE_MS, lambda: target.take(self.name, message))
+        self.timers.call_after(MESSAGE_MS, lambda: target.receive(self.name, message))
         return True
 
     def broadcast(self, message: object) -> None:
@@ -202,18 +200,18 @@
         self.dispatch.drop_job(job.job_id, "ended")
 
     def job_refused(self, job: Job) -> None:
-        """Tell the caller that the job has not run."""
+        """Refuse the job to its caller."""
         self.fleet.callers.refuse(job.job_id, "given_up")
 
     def has_ended(self, _job_id: str) -> bool:
-        """Tell that nothing is known of jobs that are gone."""
+        """Return ``False``: the entry keeps no record of ended jobs."""
         return False
 
     def on_unowned_end(self, place: object, event: object) -> None:
-        """Pass over ends of jobs that are gone."""
+        """Ignore ends of jobs that have ended."""
 
     def note(self, event: str, **fields: object) -> None:
-        """Count an event, and what speaks of waste."""
+        """Count an event, and some events also by reason."""
         self.fleet.log.write(event, **fields)
         if event in ("task_released", "task_straggles"):
             self.fleet.log.events[f"{event}: {fields['reason']}"] += 1
@@ -221,7 +219,7 @@
             self.fleet.log.events[f"{event}: moved"] += 1
 
     def schedule_placement(self) -> None:
-        """Place at the end of this turn."""
+        """Place waiting tasks after the current event."""
         if not self._placing:
             self._placing = True
             self.timers.call_after(0, self._place)
@@ -240,10 +238,10 @@
         self._place_waiting()
         self.dispatch.refuse_unmeetable(now_ms)
 
-    # Callers.
+    # Callers
 
     def submit(self, given: LoadJob) -> None:
-        """Take a job, or refuse it."""
+        """Accept a job or refuse it."""
         queue = Queue(
             given.kind.queue,
             "h",
@@ -266,7 +264,7 @@
         self.dispatch.add_job(job, now_ms)
 
     def leave(self, job_id: str) -> None:
-        """Stop a job whose caller has left."""
+        """Stop and drop a job whose caller has left."""
         job = self.dispatch.jobs.get(job_id)
         if job is not None:
             self.dispatch.stop_runs(job)
@@ -274,7 +272,7 @@
 
 
 class Callers:
-    """Hands jobs in, and notes what comes of them."""
+    """Submits jobs and records their outcomes."""
 
     def __init__(self, fleet: "VirtualFleet", jobs: list[LoadJob]) -> None:
         self._fleet = fleet
@@ -282,11 +280,11 @@
         self.outcomes = {job.job_id: Outcome(job) for job in jobs}
 
     def objective_ms(self, job: LoadJob) -> float:
-        """Return within which time the caller needs the answer."""
+        """Return the response time that the caller expects."""
         return LATENCY_FACTOR * job.chain_ms + LATENCY_SLACK_MS
 
     def submit(self, job: LoadJob) -> None:
-        """Hand a job in, and leave when its answer is of no use any more."""
+        """Submit a job; its caller leaves when a late answer has no value any more."""
         entry = self._fleet.entries[job.entry]
         entry.submit(job)
         self._timers.call_after(
@@ -300,7 +298,7 @@
             entry.leave(job.job_id)
 
     def record_end(self, job_id: str, now_ms: int) -> None:
-        """Note an answer."""
+        """Record an answer, in time or late."""
         outcome = self.outcomes[job_id]
         took_ms = now_ms - self._fleet.begin_ms - outcome.job.at_ms
         in_time = took_ms <= self.objective_ms(outcome.job)
@@ -308,7 +306,7 @@
         outcome.value = 1.0 if in_time else LATE_VALUE
 
     def refuse(self, job_id: str, kind: str) -> None:
-        """Note a refusal, and the room that was free then."""
+        """Record a refusal, and the room that was free at that time."""
         outcome = self.outcomes[job_id]
         outcome.kind = kind
         outcome.free_cores = self._fleet.free_cores()
@@ -323,7 +321,7 @@
         self.timers = VirtualTimers()
         self.begin_ms = self.timers.now_ms() + WARM_UP_MS
         self.log = SilentLog()
-        self.messages: Counter[str] = Counter()  # by kind, while the load is on
+        self.messages: Counter[str] = Counter()  # by class, during the load
         self.jobs = make_jobs(load)
         self._by_id = {job.job_id: job for job in self.jobs}
         self.callers = Callers(self, self.jobs)
@@ -339,24 +337,24 @@
         self.busy_cores: dict[int, float] = {}
 
     def count_message(self, message: object) -> None:
-        """Count a message, unless it comes before or after the load."""
+        """Count a message that is sent during the load."""
         if 0 <= self.timers.now_ms() - self.begin_ms < self.load.duration_ms:
             self.messages[message_name(message)] += 1
 
     def work_of(self, key: RunKey, rack: str) -> float:
-        """Return how long a task really works on a rack."""
+        """Return how long a task really runs on a rack."""
         job = self._by_id[key.task.job_id]
         is_near = job.data_rack in ("", rack)
         return job.work_ms[key.task.index] * (1 if is_near else self.load.far_factor)
 
     def free_cores(self) -> float:
-        """Return the room of all runners that nothing uses."""
+        """Return the free cores of all runners."""
         ledgers = [agent.controller.ledger for agent in self.agents.values()]
         free = sum(one.capacity.cpu_milli - one.used.cpu_milli for one in ledgers if not one.gone)
         return free / 1_000
 
     def open_cores(self, queue: str) -> float:
-        """Return the free room of all runners that is not kept from a queue."""
+        """Return the free cores of all runners that are not reserved against a queue."""
         controllers = [agent.controller for agent in self.agents.values()]
         return (
             sum(
@@ -367,7 +365,7 @@
         )
 
     def run(self) -> None:
-        """Play the load to its end."""
+        """Replay the load to its end."""
         for agent in self.agents.values():
             agent.open(self.entries)
         for job in self.jobs:
@@ -397,7 +395,7 @@
         self.timers.call_after(at_ms + drain.for_ms, lambda: self._drain(frozenset()))
 
     def _drain(self, zones: frozenset[str]) -> None:
-        """Let all processes hear which zones are drained from now on."""
+        """Publish the set of drained zones to all agents and entries."""
         for agent in self.agents.values():
             agent.controller.set_zone_closed(agent.zone in zones)
             self.timers.call_after(
@@ -414,8 +412,8 @@
 
 
 def replay(load: Load) -> Report:
-    """Play a load, and return what became of it."""
-    random.seed(load.seed)  # agents choose by chance which entry they offer room to
+    """Replay a load and return its report."""
+    random.seed(load.seed)  # agents choose at random to which entry they offer room
     fleet = VirtualFleet(load)
     fleet.run()
     played = ReplayRecord(
--- a/tools/load_report.py
+++ b/tools/load_report.py
@@ -1,4 +1,4 @@
-"""What a load that was replayed came to, for all callers and for those who were served worst."""
+"""Evaluates a replay: the worth earned for all callers and for the worst-served groups."""
 
 from collections import Counter, defaultdict
 from collections.abc import Callable
@@ -7,24 +7,24 @@
 from loads import LoadJob, worth_of
 
 WINDOW_MS = 2_000
-# The largest tenth of a queue's jobs, and the fifth below it, are told by themselves.
+# Limits of size classes: the largest tenth of a queue's jobs, and the fifth below it.
 LARGEST, LARGE = 0.1, 0.3
 
 
 @attrs.define(eq=False)
 class Outcome:
-    """What a caller got: ``value`` is the share of the job's worth that was earned."""
+    """A job's outcome; ``value`` is the share of its worth that was earned."""
 
     job: LoadJob
     kind: str = "open"
     value: float = 0.0
     free_cores: float = 0.0
-    open_cores: float = 0.0  # of these, what was not kept from its queue
+    open_cores: float = 0.0  # of these, not reserved against its queue
 
 
 @attrs.frozen
 class ReplayRecord:
-    """What was noted while a load was played; ``busy`` is the share of the room by time."""
+    """What a replay recorded; ``busy`` is the used share of the capacity by time."""
 
     outcomes: list[Outcome]
     duration_ms: int
@@ -35,7 +35,7 @@
 
 @attrs.frozen
 class Report:
-    """What a load came to; all shares are of the worth that was owed."""
+    """The figures of a replay; shares are of the total worth of the jobs."""
 
     worth: float
     worst_kind: float
@@ -45,10 +45,10 @@
     refused_with_room: float
     busy: float
     events: Counter
-    messages: Counter  # by kind, between entries and agents
+    messages: Counter  # by class, between entries and agents
     tasks: int
     by_queue: dict[str, float]
-    refused_with_open_room: float  # with room that was not kept from the queue
+    refused_with_open_room: float  # with enough room that was not reserved against the queue
 
     @property
     def messages_a_task(self) -> float:
@@ -57,34 +57,34 @@
 
     @property
     def mark(self) -> float:
-        """Return one figure: day 0.4, kind 0.3, entry 0.2, windows 0.1, less untrue refusals."""
+        """Return the weighted score of the replay, reduced by false refusals."""
         parts = 0.4 * self.worth + 0.3 * self.worst_kind + 0.2 * self.worst_entry
         return parts + 0.1 * self.worst_windows - 0.5 * self.refused_with_room
 
 
-def summarize(played: ReplayRecord) -> Report:
-    """Return the figures of a load that was played."""
-    outcomes = played.outcomes
+def summarize(record: ReplayRecord) -> Report:
+    """Compute the figures of a replay."""
+    outcomes = record.outcomes
     refused = [one for one in outcomes if one.kind in ("refused", "given_up")]
     with_room = [one for one in refused if one.free_cores > _room_of(one.job)]
     with_open_room = [one for one in refused if one.open_cores > _room_of(one.job)]
-    owed = _worth(outcomes)
+    total_worth = _worth(outcomes)
     windows = sorted(_shares(outcomes, lambda one: one.job.at_ms // WINDOW_MS).values())
-    end_ms = played.duration_ms
-    loaded = [share for at_ms, share in played.busy.items() if 0 < at_ms < end_ms]
+    end_ms = record.duration_ms
+    busy_shares = [share for at_ms, share in record.busy.items() if 0 < at_ms < end_ms]
     return Report(
         _share(outcomes),
         min(_shares(outcomes, _size_classes(outcomes).__getitem__).values()),
         min(_shares(outcomes, lambda one: one.job.entry).values()),
         sum(windows[:2]) / 2,
         Counter(one.kind for one in outcomes),
-        _worth(with_room) / owed,
-        sum(loaded) / len(loaded),
-        played.events,
-        played.messages,
+        _worth(with_room) / total_worth,
+        sum(busy_shares) / len(busy_shares),
+        record.events,
+        record.messages,
         sum(len(one.job.work_ms) for one in outcomes),
         _shares(outcomes, lambda one: one.job.kind.queue),
-        _worth(with_open_room) / owed,
+        _worth(with_open_room) / total_worth,
     )
 
 
@@ -97,7 +97,7 @@
 
 
 def _size_classes(outcomes: list[Outcome]) -> dict[Outcome, tuple[str, str]]:
-    """Return each outcome's class: the largest tenth of a queue, the fifth below, and the rest."""
+    """Return each outcome's queue and size class."""
     classes = {}
     by_queue = defaultdict(list)
     for one in outcomes:
@@ -112,8 +112,8 @@
 
 
 def _share(outcomes: list[Outcome]) -> float:
-    owed = sum(worth_of(one.job) for one in outcomes)
-    return sum(one.value * worth_of(one.job) for one in outcomes) / owed
+    total_worth = sum(worth_of(one.job) for one in outcomes)
+    return sum(one.value * worth_of(one.job) for one in outcomes) / total_worth
 
 
 def _shares(outcomes: list[Outcome], key: Callable[[Outcome], object]) -> dict[object, float]:
--- a/tools/loads.py
+++ b/tools/loads.py
@@ -1,4 +1,4 @@
-"""Loads for replays in virtual time: kinds of jobs, arrivals and faults as data, all seeded."""
+"""Seeded loads for replays in virtual time: kinds of jobs, arrivals and faults as data."""
 
 import math
 import random
@@ -6,22 +6,21 @@
 import attrs
 
 MS_PER_S = 1_000
-# Log-normal spreads as measured in logs of a busy day (7,000 jobs): of the work of the jobs of
-# one queue, of the stated work against it, and of the tasks of one job.
+# Log-normal standard deviations, as measured in logs of a busy day (7,000 jobs): of the work of a
+# queue's jobs, of the estimate relative to the work, and of the tasks of one job.
 WORK_SPREAD = 0.40
 ESTIMATE_SPREAD = 0.45
 TASK_SPREAD = 0.10
-# Processor room of a task varies by so much of its mean, and is never under half of it.
-ROOM_SPREAD = 0.2
+ROOM_SPREAD = 0.2  # of a task's CPU room, relative to its mean; the minimum is half of the mean
 LONG_FACTOR = 7
-# What a job earns grows with its work: this share is the same for all, and there is a limit.
+# A job's worth is a fixed share plus a part in proportion to its work, up to a limit.
 FIXED_WORTH = 0.3
 MOST_WORTH = 4.0
 
 
 @attrs.frozen
 class JobKind:
-    """The jobs of one queue: how many a second, their tasks, and what one is worth."""
+    """The jobs of one queue: their rate, their tasks, and the worth of one job."""
 
     queue: str
     per_s: float
@@ -34,7 +33,7 @@
 
 @attrs.frozen
 class Fault:
-    """A trouble of some runners: at pace 0 they stand still, ``gone`` ones never come back."""
+    """A fault of some runners: at pace 0 they stall; with ``gone`` they are lost for good."""
 
     at_ms: int
     for_ms: int
@@ -45,7 +44,7 @@
 
 @attrs.frozen
 class Burst:
-    """So many times the usual traffic, of one queue or of all."""
+    """A multiple of the usual traffic, of one queue or of all."""
 
     at_ms: int
     for_ms: int
@@ -55,7 +54,7 @@
 
 @attrs.frozen
 class Drain:
-    """An availability zone that operators drain for a while."""
+    """An availability zone that operators drain for some time."""
 
     at_ms: int
     for_ms: int
@@ -64,24 +63,24 @@
 
 @attrs.frozen
 class Load:
-    """All that happens; ``shares`` is each entry's part of the traffic."""
+    """A load with its fleet, faults and drains; ``shares`` is each entry's part of the traffic."""
 
     name: str
     seed: int
     duration_ms: int
     kinds: tuple[JobKind, ...]
-    runners: tuple[int, ...]  # the processor room of each, in thousandths of a core
+    runners: tuple[int, ...]  # the capacity of each, in thousandths of a core
     shares: tuple[float, ...]
     zones: int = 0  # of entries and agents; 0: each entry in a zone of its own, agents in one
     bursts: tuple[Burst, ...] = ()
     faults: tuple[Fault, ...] = ()
     drains: tuple[Drain, ...] = ()
-    speeds: tuple[float, ...] = ()  # of the runners in turn; drawn if none is given
-    rack_size: int = 0  # so many runners in turn are a rack; 0: there are none
-    data_share: float = 0.0  # of the jobs whose data are on one rack
-    data_runners: int = 0  # the racks of so many first runners have data; 0: of all
-    far_factor: float = 1.0  # how much longer tasks take away from their data
-    long_share: float = 0.0  # of the tasks that take much longer than their like
+    speeds: tuple[float, ...] = ()  # one for each runner; random if none is given
+    rack_size: int = 0  # consecutive runners in a rack; 0: no racks
+    data_share: float = 0.0  # of the jobs: their data is on one rack
+    data_runners: int = 0  # data is only on racks of the first runners, so many; 0: on all racks
+    far_factor: float = 1.0  # on the duration of tasks outside the rack of their data
+    long_share: float = 0.0  # of the tasks that run ``long_factor`` times as long
     long_factor: float = 1.0
 
     def rack_of(self, number: int) -> str:
@@ -93,7 +92,7 @@
 
 @attrs.define(eq=False)
 class LoadJob:
-    """One job: what its caller states of it, and how long its tasks really work."""
+    """One job: what its caller states, and how long its tasks really run."""
 
     job_id: str
     kind: JobKind
@@ -111,12 +110,12 @@
 
     @property
     def chain_ms(self) -> int:
-        """Return how long it takes when all its tasks run at once."""
+        """Return the duration of the job when all its tasks run in parallel."""
         return max(self.work_ms)
 
 
 def rate_at(load: Load, kind: JobKind, at_ms: float) -> float:
-    """Return how many jobs of a kind come a second at a time."""
+    """Return the arrival rate of a kind of jobs at a time, in jobs per second."""
     rate = kind.per_s
     for burst in load.bursts:
         if burst.at_ms <= at_ms < burst.at_ms + burst.for_ms and burst.queue in ("", kind.queue):
@@ -125,7 +124,7 @@
 
 
 def make_jobs(load: Load) -> list[LoadJob]:
-    """Return all jobs of a load in order of their arrival; the same seed makes the same jobs."""
+    """Return all jobs of a load in order of arrival; the same seed gives the same jobs."""
     rng = random.Random(load.seed)
     jobs = []
     for kind in load.kinds:
@@ -142,7 +141,7 @@
 
 
 def _make_uneven(load: Load, job: LoadJob, rng: random.Random) -> LoadJob:
-    """Put the data of some jobs on a rack, and let some tasks take much longer than stated."""
+    """Put the data of some jobs on a rack, and let some tasks run much longer than estimated."""
     works = tuple(
         int(work * load.long_factor) if rng.random() < load.long_share else work
         for work in job.work_ms
@@ -174,14 +173,14 @@
 
 
 def worth_of(job: LoadJob) -> float:
-    """Return what the end of a job is worth to its caller."""
+    """Return what an answer in time is worth to the caller."""
     kind = job.kind
     usual = kind.tasks * kind.work_ms * kind.cpu_milli / MS_PER_S**2
     return kind.worth * min(MOST_WORTH, FIXED_WORTH + (1 - FIXED_WORTH) * job.core_s / usual)
 
 
-# Three queues as at a customer with short wide jobs, long ones and many small ones. 70 jobs a
-# second come to 245 cores of work.
+# Three queues of a customer: short wide jobs, long jobs and many small ones. 70 jobs per second
+# need 245 cores.
 KINDS = (
     JobKind("checks", 17.2, 7.0, 130, 3_100, 0.0291, 0),
     JobKind("rebuilds", 3.13, 4.0, 1_870, 3_100, 0.16, 2),
@@ -190,15 +189,15 @@
 
 
 def scaled(kinds: tuple[JobKind, ...], factor: float) -> tuple[JobKind, ...]:
-    """Return kinds that come so many times as often."""
+    """Return kinds with their arrival rates multiplied by a factor."""
     return tuple(attrs.evolve(kind, per_s=kind.per_s * factor) for kind in kinds)
 
 
 def overload(seed: int, duration_ms: int = 20_000, factor: float = 1.3) -> Load:
     """Return a load like that of the worst day measured.
 
-    A burst, two runners of eleven lost for good, one that stands still for 5 s; after that a
-    little more comes than the others can serve.
+    It has bursts, two of eleven runners are lost, and one stalls for 5 s; after that the load is a
+    little above the capacity that is left.
     """
     return Load(
         name="overload",
@@ -213,12 +212,12 @@
 
 
 def steady(seed: int, duration_ms: int = 12_000, factor: float = 1.45) -> Load:
-    """Return a load of about what the runners can serve, without faults."""
+    """Return a load close to the capacity of the runners, without faults."""
     return attrs.evolve(overload(seed, duration_ms, factor), name="steady", bursts=(), faults=())
 
 
-# Three queues where long jobs are nearly half of the work, as at a customer whose work has shifted:
-# 359 jobs a second come to 767 cores of work.
+# Three queues of a customer where long jobs are nearly half of the work. 359 jobs per second need
+# 767 cores.
 LONG_KINDS = (
     JobKind("flags", 83.2, 8.0, 120, 1_500, 0.00485, 0),
     JobKind("certificates", 32.9, 4.0, 1_800, 1_500, 0.0267, 2),
@@ -229,10 +228,10 @@
 def long_work(
     seed: int, duration_ms: int = 15_000, factor: float = 1.2, entries: int = 11, agents: int = 65
 ) -> Load:
-    """Return a load whose long jobs fill the runners for seconds, in three zones.
+    """Return a load whose long jobs occupy the runners for seconds, in three zones.
 
-    Bursts of all, of short wide jobs and of long ones follow each other; in the last one a
-    seventh of the runners is lost. At a factor of 1 the work takes 63% of the room.
+    There are bursts of all jobs, of short wide ones and of long ones in turn; in the last burst a
+    seventh of the runners is lost. At a factor of 1 the work needs 63% of the capacity.
     """
     lost = tuple(range(0, agents, 7))
     return Load(
@@ -253,17 +252,18 @@
 
 
 def long_tasks(seed: int, duration_ms: int = 12_000, factor: float = 1.0) -> Load:
-    """Return the steady load at a factor of its rate, where one task in 30 takes long.
+    """Return the steady load at a factor of its rate, where 3% of the tasks run long.
 
-    Two runners of eleven work at a quarter of their pace for 5 s. The work takes 70% of the room.
+    Two of eleven runners work at a quarter of their speed for 5 s. The work needs 70% of the
+    capacity.
     """
     faults = (Fault(3_000, 5_000, (0, 1), pace=0.25),)
     load = steady(seed, duration_ms, factor)
     return attrs.evolve(load, name="long_tasks", long_share=0.03, faults=faults)
 
 
-# Three queues of one upstream that compete: short wide jobs, long patient ones and many small ones.
-# 422 jobs a second come to 569 cores of work.
+# Three queues that compete for one upstream: short wide jobs, long jobs with lenient targets and
+# many small ones. 422 jobs per second need 569 cores.
 COMPETING_KINDS = (
     JobKind("previews", 103.0, 8.0, 120, 1_200, 0.00485, 0),
     JobKind("runs", 18.8, 4.0, 1_800, 1_200, 0.0267, 2),
@@ -274,10 +274,10 @@
 def competing(
     seed: int, duration_ms: int = 20_000, factor: float = 1.1, entries: int = 4, agents: int = 15
 ) -> Load:
-    """Return a load whose long jobs come in a burst before the most urgent ones do.
+    """Return a load with a burst of long jobs, followed by one of the most urgent jobs.
 
-    Every eighth runner is taken away before the bursts overlap, another eighth after that. At a
-    factor of 1 and with all runners the work takes 60% of the room.
+    A seventh of the runners is lost before the second burst, and another seventh during it. At a
+    factor of 1 and with all runners the work needs 60% of the capacity.
     """
     first = tuple(range(0, agents, 7))
     second = tuple(range(3, agents, 7))
@@ -300,7 +300,7 @@
 def drained_zone(seed: int, duration_ms: int = 12_000, factor: float = 1.0) -> Load:
     """Return the long work at its usual rate, while one of three zones is drained for 6 s.
 
-    What is left then has room for 1.05 times the work.
+    The capacity that is left is 1.05 times the work.
     """
     load = long_work(seed, duration_ms, factor)
     drain = Drain(3_000, 6_000, "zone-0")
@@ -312,7 +312,7 @@
 ) -> Load:
     """Return the steady load of a fleet of hundreds of machines in five zones.
 
-    At a factor of 1.2 it takes 87% of the room, at 1.6 a little more than fits.
+    At a factor of 1.2 it needs 87% of the capacity, at 1.6 slightly more than all of it.
     """
     steady_load = steady(seed, duration_ms)
     return attrs.evolve(
@@ -342,9 +342,8 @@
 ) -> Load:
     """Return a load on runners of which a quarter is slow and a quarter fast, in four zones.
 
-    A third of the jobs have their data on one rack of seven runners, and some of the tasks take
-    seven times as long as their like. At a factor of 1 the work takes half of the room, without
-    the long ones.
+    A third of the jobs have their data on one rack of seven runners, and some tasks run seven times
+    as long as others. At a factor of 1 the work needs half of the capacity, without the long tasks.
     """
     return Load(
         name="uneven",
@@ -364,6 +363,6 @@
 
 
 def hot_rack(seed: int, duration_ms: int = 10_000, entries: int = 11, agents: int = 63) -> Load:
-    """Return a load of which a third wants the data of a third of the racks, without long tasks."""
+    """Return a load where the data of 30% of the jobs is on a third of the racks, no long tasks."""
     load = uneven(seed, duration_ms, 1.5, entries, agents, long_share=0.0)
     return attrs.evolve(load, name="hot_rack", data_share=0.3, data_runners=agents // 3)
--- a/tools/virtual_runner.py
+++ b/tools/virtual_runner.py
@@ -1,4 +1,4 @@
-"""A runner in virtual time, and the agent's side of it: the real ledger, offers and judgement."""
+"""A runner in virtual time, and the agent's side of it: the real ledger, offers and launcher."""
 
 import heapq
 from collections import Counter
@@ -17,18 +17,18 @@
 
 UPSTREAM = "workers"
 RUN_LEASE_MS = 1_000
-# A call of the runner beside the agent, until it begins a run and until it has answered, as
-# measured between processes; and how long a stop takes.
+# A call to the local runner, until it begins the run and until it has answered, as measured between
+# processes.
 CALL_MS = 0.7
 START_MS = 1.5
-STOP_MS = 30
+STOP_MS = 30  # until a run ends after a stop
 
 
 Report = Callable[["VirtualController", list], None]
 
 
 class VirtualTimers:
-    """A timer service whose time passes only from one event to the next."""
+    """A timer service in virtual time, which advances from one event to the next."""
 
     def __init__(self) -> None:
         self.time_ms = 1_000.0
@@ -36,23 +36,23 @@
         self._count = 0
 
     def now_ms(self) -> int:
-        """Return the time."""
+        """Return the virtual time."""
         return int(self.time_ms)
 
     wall_ms = now_ms
     monotonic_ms = now_ms
 
     def left_ms(self, interval_ms: int) -> int:
-        """Return how long it is until the next multiple of an interval."""
+        """Return the time until the next multiple of an interval."""
         return interval_ms - self.now_ms() % interval_ms
 
     def call_after(self, delay_ms: float, callback: Callable[[], None]) -> None:
-        """Call back once later."""
+        """Call a function once after a delay."""
         self._count += 1
         heapq.heappush(self._events, (self.time_ms + delay_ms, self._count, callback))
 
     def subscribe(self, interval_ms: int, callback: Callable[[], object]) -> None:
-        """Call back again and again."""
+        """Call a function at a fixed interval."""
 
         def step() -> None:
             callback()
@@ -61,14 +61,14 @@
         self.call_after(interval_ms, step)
 
     def run_until(self, end_ms: float) -> None:
-        """Let time pass until all events before an end have come."""
+        """Advance the time and process all events up to an end."""
         while self._events and self._events[0][0] <= end_ms:
             self.time_ms, _, callback = heapq.heappop(self._events)
             callback()
 
 
 class SilentLog:
-    """Takes the place of the event log; counts events."""
+    """Replaces the event log and only counts events."""
 
     def __init__(self) -> None:
         self.events: Counter[str] = Counter()
@@ -80,17 +80,17 @@
 
 @attrs.define(eq=False)
 class VirtualRun:
-    """A run at a virtual runner; a new ``turn`` makes an earlier planned end void."""
+    """A run at a virtual runner; a new ``plan_number`` invalidates an earlier planned end."""
 
     key: RunKey
     work_ms: float
     left_ms: float
     since_ms: float
-    turn: int = 0
+    plan_number: int = 0
 
 
 class VirtualRunner:
-    """Works on runs at its pace; ``on_change`` is called when one has ended."""
+    """Executes runs at a speed that can change; calls ``on_change`` when a run has ended."""
 
     def __init__(self, timers: VirtualTimers, speed: float) -> None:
         self.timers = timers
@@ -109,14 +109,14 @@
         self._plan(run)
 
     def _plan(self, run: VirtualRun) -> None:
-        run.turn += 1
+        run.plan_number += 1
         rate = self.speed * self.pace
         if rate:
-            turn = run.turn
-            self.timers.call_after(run.left_ms / rate, lambda: self._finish(run, turn))
+            plan_number = run.plan_number
+            self.timers.call_after(run.left_ms / rate, lambda: self._finish(run, plan_number))
 
-    def _finish(self, run: VirtualRun, turn: int) -> None:
-        if self.runs.get(run.key) is run and run.turn == turn:
+    def _finish(self, run: VirtualRun, plan_number: int) -> None:
+        if self.runs.get(run.key) is run and run.plan_number == plan_number:
             self._end(run, RunEnd.DONE)
 
     def _end(self, run: VirtualRun, end: RunEnd) -> None:
@@ -127,13 +127,13 @@
         self.on_change()
 
     def stop(self, key: RunKey) -> None:
-        """Stop a run, which takes a while."""
+        """Stop a run; it ends after ``STOP_MS``."""
         run = self.runs.get(key)
         if run is not None:
             self.timers.call_after(STOP_MS, lambda: self._end(run, RunEnd.STOPPED))
 
     def set_pace(self, pace: float) -> None:
-        """Work at another pace from now on."""
+        """Change the pace, a factor on the runner's speed; at 0 all runs stall."""
         for run in self.runs.values():
             self._count_work(run)
         self.pace = pace
@@ -146,18 +146,18 @@
         run.since_ms = now_ms
 
     def poll(self, seen: int) -> RunnerSnapshot:
-        """Return what runs and what has ended since."""
+        """Return the active runs and the ends that are not acknowledged."""
         self.ended = [end for end in self.ended if end.number > seen]
         rows = []
         for run in self.runs.values():
             self._count_work(run)
-            percent = int(100 * (1 - max(0.0, run.left_ms) / run.work_ms))
-            rows.append(RunningTask(run.key, min(99, percent)))
+            progress_percent = int(100 * (1 - max(0.0, run.left_ms) / run.work_ms))
+            rows.append(RunningTask(run.key, min(99, progress_percent)))
         return RunnerSnapshot(self.timers.now_ms(), tuple(rows), tuple(self.ended))
 
 
 class VirtualLauncher(RunLauncher):
-    """The real judgement of orders, with a virtual runner behind it."""
+    """The real decisions on start orders, with a virtual runner in place of the calls."""
 
     def __init__(self, context: RunnerContext, runner: VirtualRunner, work_of: Callable) -> None:
         super().__init__(context)
@@ -184,8 +184,8 @@
 class VirtualController:
     """The agent's side of one virtual runner.
 
-    ``report`` is called with the keeper and what happened to runs; ``work_of`` tells how long a
-    task really works.
+    ``report`` is called with the controller and the events of its runs; ``work_of`` returns how
+    long a task really runs.
     """
 
     def __init__(
@@ -210,30 +210,30 @@
 
     @property
     def runner_id(self) -> str:
-        """Return the runner's identity."""
+        """Return the runner's id."""
         return self.ledger.runner_id
 
     @property
     def offers(self):
-        """Return what freed room is kept for whom."""
+        """Return the offers of freed room to single entries."""
         return self._context.offers
 
     def kept_cpu_milli(self) -> dict[str, int]:
-        """Return how much of the free room is kept from which queues."""
+        """Return how much of the free room is reserved against each queue."""
         return self._context.kept_cpu_milli(self._timers.now_ms())
 
     def free_for(self, owner: str) -> Resources:
-        """Return the room that an owner may use now."""
+        """Return the free room that an owner may use now."""
         return self._context.free_for(owner, self._timers.now_ms())
 
     def poll(self) -> None:
-        """Look at the runner, and tell what has changed."""
+        """Poll the runner and report what has changed."""
         if self.ledger.gone:
             return
         now_ms = self._timers.now_ms()
         self.starts.stop_overdue_runs(now_ms)
-        was_resting = bool(self.ledger.health.ejected_until_ms)
-        if was_resting and not self.ledger.health.is_ejected(now_ms):
+        was_ejected = bool(self.ledger.health.ejected_until_ms)
+        if was_ejected and not self.ledger.health.is_ejected(now_ms):
             self._report([])
         events = self.ledger.apply_snapshot(
             self.runner.poll(self.ledger.advance_acknowledged()), now_ms
@@ -242,13 +242,13 @@
             self._report(events)
 
     def set_zone_closed(self, closed: bool) -> None:
-        """Note whether anything may be started in the runner's zone."""
+        """Set whether the runner's zone is closed to starts."""
         if self.ledger.zone_closed != closed:
             self.ledger.zone_closed = closed
             self._report([])
 
     def lose(self) -> None:
-        """Note that the runner is gone."""
+        """Let the runner crash for good."""
         self.runner.gone = True
         self.runner.runs.clear()
         self._context.set_gone("crashed")
