--- a/tools/loads.py
+++ b/tools/loads.py
@@ -78,7 +78,7 @@
     speeds: tuple[float, ...] = ()  # one for each runner; random if none is given
     rack_size: int = 0  # consecutive runners in a rack; 0: no racks
     data_share: float = 0.0  # of the jobs: their data is on one rack
-    data_runners: int = 0  # data is only on racks of the first runners, so many; 0: on all racks
+    data_runners: int = 0  # data is only on racks of this many first runners; 0: on all racks
     far_factor: float = 1.0  # on the duration of tasks outside the rack of their data
     long_share: float = 0.0  # of the tasks that run ``long_factor`` times as long
     long_factor: float = 1.0
