--- a/src/gapdrum/codec.py
+++ b/src/gapdrum/codec.py
@@ -1,8 +1,8 @@
-"""The msgpack codec of the internal streams: a registry of message classes and framing.
+"""The msgpack codec of the internal streams: the registry of message classes, and framing.
 
-A frame is the msgpack array ``[code, field, field, ...]`` in the order in
-which the message class declares its fields.  Every field is checked when the
-message is built, so a frame that decodes is a valid message.
+A frame is the msgpack array ``[code, field, field, ...]``, with the fields in
+the order in which the message class declares them.  Every field is validated
+when the message is built, so a decoded frame is a valid message.
 """
 
 from collections.abc import Callable, Iterator
@@ -22,7 +22,7 @@
 
 
 def message(code: int) -> Callable[[type], type]:
-    """Register an attrs class as the message with this code on the wire."""
+    """Register an attrs class as the message that has this code on the wire."""
 
     def register(message_class: type) -> type:
         if code in _classes:
@@ -36,18 +36,18 @@
 
 
 def message_name(instance: object) -> str:
-    """Return the name that metrics use for this message, such as ``PlaceTasks``."""
+    """Return the name of this message in metrics, such as ``PlaceTasks``."""
     return type(instance).__name__
 
 
 def encode(instance: object) -> bytes:
-    """Return the frame for a message of a registered class."""
+    """Return the frame of a message, which must be of a registered class."""
     message_class = type(instance)
     return msgpack.packb((_codes[message_class], *_packers[message_class](instance)))
 
 
 def decode(frame: object) -> Any:
-    """Return the message in an unpacked frame; raises FrameError if it is not valid."""
+    """Return the message in an unpacked frame; raises FrameError if the frame is not valid."""
     if not isinstance(frame, list) or not frame:
         raise FrameError("a frame must be a non-empty array")
     message_class = _classes.get(frame[0]) if type(frame[0]) is int else None
@@ -60,9 +60,9 @@
 
 
 class Decoder:
-    """Turns chunks of bytes into messages, bounded by ``MAX_FRAME_BYTES``.
+    """Decodes chunks of bytes into messages; a frame may have ``MAX_FRAME_BYTES`` at most.
 
-    Feed it what the socket yields; iterating gives the whole messages so far::
+    ``feed`` takes the bytes that a socket received and yields the messages they complete::
 
         decoder = Decoder()
         for message in decoder.feed(chunk):
@@ -75,7 +75,7 @@
         )
 
     def feed(self, chunk: bytes) -> Iterator[Any]:
-        """Yield each message completed by the chunk; raises FrameError on a bad one."""
+        """Yield each message that the chunk completes; raises FrameError on an invalid frame."""
         try:
             self._unpacker.feed(chunk)
         except msgpack.BufferFull as error:
@@ -85,13 +85,13 @@
                 frame = self._unpacker.unpack()
             except msgpack.OutOfData:
                 return
-            except Exception as error:  # the library raises many kinds for broken bytes
+            except Exception as error:  # msgpack raises several exception types for invalid bytes
                 raise FrameError(f"broken msgpack: {type(error).__name__}") from error
             yield decode(frame)
 
 
 def _build_packer(message_class: type) -> Callable[[Any], tuple]:
-    """Return a function that lists the field values of a message, rows unfolded."""
+    """Return a function that returns the field values of a message, rows as tuples."""
     fields = attrs.fields(message_class)
     names = [field.name for field in fields]
     rows = {
@@ -113,7 +113,7 @@
 
 
 def _build_getter(names: list[str]) -> Callable[[Any], tuple]:
-    """Return an attrgetter that gives a tuple for one name and for none, too."""
+    """Return an attrgetter that returns a tuple for any number of names, zero and one too."""
     if not names:
         return lambda _instance: ()
     getter = attrgetter(*names)
--- a/src/gapdrum/messages.py
+++ b/src/gapdrum/messages.py
@@ -1,8 +1,9 @@
 """The messages of the internal streams, one attrs class each.
 
-Times named ``agent_time_ms`` and ``start_by_ms`` are on the agent's own
-monotonic clock: an agent states its clock in its messages, and the entry
-derives limits from the last statement, so no two clocks are ever compared.
+Times named ``agent_time_ms`` and ``start_by_ms`` are read from the agent's
+monotonic clock: an agent sends its clock reading in its messages, and the
+entry computes time limits from the last reading, so the clocks of two machines
+are never compared.
 """
 
 import attrs
@@ -22,7 +23,7 @@
 
 @attrs.frozen
 class PlacedTask:
-    """One start order: the attempt of a task of a job, with what the runner is to get."""
+    """One start order: an attempt of a task, and the payload that the runner gets."""
 
     index: int = count_field(MAX_TASKS_PER_JOB)
     attempt: int = count_field(1_000)
@@ -31,7 +32,7 @@
 
 @attrs.frozen
 class AttemptStatus:
-    """What an agent knows of one attempt: a state of the chart ``held_task``."""
+    """The last state of one attempt at an agent: a state of the chart ``held_task``."""
 
     index: int = count_field(MAX_TASKS_PER_JOB)
     attempt: int = count_field(1_000)
@@ -43,7 +44,7 @@
 
 @attrs.frozen
 class AttemptKey:
-    """Names one attempt of one task within its job."""
+    """Identifies one attempt of one task within its job."""
 
     index: int = count_field(MAX_TASKS_PER_JOB)
     attempt: int = count_field(1_000)
@@ -52,7 +53,7 @@
 @message(1)
 @attrs.frozen
 class AgentHello:
-    """The first message of an agent: who it is and which runner it stands beside."""
+    """The first message of an agent: its identity, availability zone and worker."""
 
     agent_id: str = text_field()
     incarnation: str = text_field()
@@ -65,11 +66,11 @@
 @message(2)
 @attrs.frozen
 class RunnerLoad:
-    """The agent's view of its runner, also the heartbeat of the stream.
+    """The load of the agent's runner; it is also the heartbeat of the stream.
 
-    ``free_slots`` is what this entry is offered; it is negative by the number
-    of orders that wait.  ``received`` counts the start orders taken from this entry on this stream,
-    so that the entry can tell which of its orders the figures include.
+    ``free_slots`` is the number of slots offered to this entry; it is negative by the
+    number of orders that wait.  ``received`` counts the start orders that came from this
+    entry on this stream, so that the entry knows which of its orders the figures include.
     """
 
     upstream: str = text_field()
@@ -85,7 +86,7 @@
 @message(3)
 @attrs.frozen
 class TaskReport:
-    """What became of one attempt, with the load of the runner after it."""
+    """The new state of one attempt, with the load of the runner after it."""
 
     job_id: str = text_field()
     epoch: int = count_field()
@@ -101,7 +102,7 @@
     """All attempts of a job that an agent knows: its answer to Fence and Inquire.
 
     ``epoch`` is the highest epoch that the agent has seen for the job; an
-    entry that asked with a lower one has lost the job.
+    entry that asked with a lower epoch no longer owns the job.
     """
 
     job_id: str = text_field()
@@ -122,7 +123,7 @@
 @message(11)
 @attrs.frozen
 class PlaceTasks:
-    """Start orders for one job; nothing is started after ``start_by_ms``."""
+    """Start orders for one job; the agent starts none of them after ``start_by_ms``."""
 
     job_id: str = text_field()
     epoch: int = count_field(minimum=1)
@@ -134,7 +135,7 @@
 @message(12)
 @attrs.frozen
 class Withdraw:
-    """Take back what has not started; an empty list names all attempts of the job."""
+    """Withdraws the attempts that have not started; an empty list names all of the job."""
 
     job_id: str = text_field()
     epoch: int = count_field()
@@ -144,7 +145,7 @@
 @message(13)
 @attrs.frozen
 class Fence:
-    """Raise the epoch of a job: lower epochs start nothing more, queued attempts end."""
+    """Raises the epoch of a job: orders with a lower epoch are refused, queued attempts end."""
 
     job_id: str = text_field()
     epoch: int = count_field(minimum=1)
@@ -153,7 +154,7 @@
 @message(14)
 @attrs.frozen
 class Inquire:
-    """Ask after attempts sent on a stream that broke; those never received will not start."""
+    """Asks for attempts that were sent on a broken stream; the agent never starts unknown ones."""
 
     job_id: str = text_field()
     epoch: int = count_field()
@@ -163,7 +164,7 @@
 @message(15)
 @attrs.frozen
 class SettingsPush:
-    """The settings tree in force, as JSON text, with its version."""
+    """The settings tree in force as JSON text, and its version."""
 
     version: int = count_field()
     document: str = text_field(MAX_SETTINGS_LENGTH)
@@ -172,9 +173,9 @@
 @message(16)
 @attrs.frozen
 class EntryHeartbeat:
-    """The entry lives; ``waiting`` is how many tasks it holds for lack of a free slot.
+    """The entry's heartbeat; ``waiting`` is how many of its tasks wait for a free slot.
 
-    Sent every second, and at once when tasks begin or cease to wait.
+    The entry sends it every second, and at once when tasks start or stop waiting.
     """
 
     settings_version: int = count_field()
@@ -184,7 +185,7 @@
 @message(17)
 @attrs.frozen
 class EntryLeaving:
-    """The entry is shutting down: the agent should not count on it any more."""
+    """The entry shuts down: the agent should expect no more messages from it."""
 
     entry_id: str = text_field()
 
@@ -192,7 +193,7 @@
 @message(20)
 @attrs.frozen
 class PeerHello:
-    """The first message of an entry on a stream it opened to another entry."""
+    """The first message of an entry on a stream that it opened to another entry."""
 
     entry_id: str = text_field()
     token: str = text_field(repr=False)
@@ -202,7 +203,7 @@
 @message(21)
 @attrs.frozen
 class PeerRequest:
-    """Ask another entry about a job; ``kind`` names a handler in ``peers.HANDLERS``."""
+    """A request to another entry about a job; ``kind`` names a handler in ``peers.HANDLERS``."""
 
     request_id: int = count_field()
     kind: str = text_field()
@@ -213,7 +214,7 @@
 @message(22)
 @attrs.frozen
 class PeerReply:
-    """The reply, as JSON text; empty if the entry does not know the job."""
+    """The reply to a peer request as JSON text; empty if the entry does not know the job."""
 
     request_id: int = count_field()
     document: str = text_field(MAX_ANSWER_LENGTH)
--- a/src/gapdrum/models.py
+++ b/src/gapdrum/models.py
@@ -1,4 +1,4 @@
-"""What callers send and get: submissions, answers, progress and their parts."""
+"""The data that callers exchange with an entry: submissions, answers and progress."""
 
 import hashlib
 import json
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class TaskSpec:
-    """One task as submitted: the text that the runner is to get."""
+    """One task of a submission: the payload that is passed to the runner."""
 
     payload: str = text_field(MAX_PAYLOAD_LENGTH)
 
@@ -38,8 +38,8 @@
     """A job as submitted by a caller.
 
     ``key`` is the idempotency key within the team: the same key with the same
-    body is the same job.  ``starts_allowed`` bounds how often each task may
-    start; 1 means that a task whose fate is unknown is never tried again.
+    body is the same job.  ``starts_allowed`` limits how often each task may
+    start; with 1, a task whose fate is unknown is never retried.
     """
 
     key: str = attrs.field(validator=[attrs.validators.max_len(MAX_KEY_LENGTH), _check_name])
@@ -53,28 +53,28 @@
 
     @property
     def job_id(self) -> str:
-        """Return the identity of the job, the same at every entry."""
+        """Return the identity of the job, which is the same at every entry."""
         return job_id_for(self.team, self.key)
 
     @property
     def body_hash(self) -> str:
-        """Return a digest of all that must not differ between two submissions of a key."""
+        """Return a digest of the submission; two submissions of one key must have the same."""
         document = json.dumps(attrs.asdict(self), sort_keys=True)
         return hashlib.blake2b(document.encode(), digest_size=JOB_ID_BYTES).hexdigest()
 
 
 def job_id_for(team: str, key: str) -> str:
-    """Return the job identity for an idempotency key of a team."""
+    """Return the job identity that belongs to an idempotency key of a team."""
     text = f"{team}\n{key}"
     return hashlib.blake2b(text.encode(), digest_size=JOB_ID_BYTES).hexdigest()
 
 
 @attrs.frozen
 class TaskOutcome:
-    """The fate of one task in an answer, and its result where it is done.
+    """The fate of one task in an answer, and its result if the task is done.
 
-    ``starts`` is how often the task may have started: proven non-starts are
-    not counted.
+    ``starts`` is how often the task may have started: attempts that are proven
+    not to have started are not counted.
     """
 
     index: int
@@ -86,7 +86,7 @@
 
 @attrs.frozen
 class Answer:
-    """The whole answer to a job: complete if every task is done, else failed."""
+    """The answer to a job: complete if every task is done, otherwise failed."""
 
     job_id: str
     team: str
@@ -100,7 +100,7 @@
 
 @attrs.frozen
 class Progress:
-    """How far a job has come, counted by task state."""
+    """The progress of a job: the number of its tasks in each state."""
 
     job_id: str
     team: str
@@ -114,6 +114,6 @@
 
 
 def summarize_outcome(outcomes: list[TaskOutcome]) -> str:
-    """Return ``complete`` if every task is done, else ``failed``."""
-    whole = all(outcome.fate == reasons.DONE for outcome in outcomes)
-    return reasons.COMPLETE if whole else reasons.FAILED
+    """Return ``complete`` if every task is done, otherwise ``failed``."""
+    all_done = all(outcome.fate == reasons.DONE for outcome in outcomes)
+    return reasons.COMPLETE if all_done else reasons.FAILED
--- a/src/gapdrum/streams.py
+++ b/src/gapdrum/streams.py
@@ -1,4 +1,4 @@
-"""Message streams over TCP: framing, bounded buffers and errors that close one stream only."""
+"""Message streams over TCP, with framing and bounded buffers; an error closes one stream only."""
 
 import asyncio
 from collections import Counter
@@ -13,11 +13,11 @@
 
 
 class Stream:
-    """One connection that carries messages both ways.
+    """One connection that carries messages in both directions.
 
-    Iterate to receive; ``send`` never waits.  What is sent in one turn of the loop goes out in
-    one write at its end.  A peer that does not read until ``MAX_UNSENT_BYTES`` have gathered is
-    cut off::
+    Iterate over the stream to receive; ``send`` never blocks.  All messages sent in one iteration
+    of the event loop go out in one write.  The stream is closed if its peer reads so slowly that
+    more than ``MAX_UNSENT_BYTES`` are unsent::
 
         async for message in stream:
             stream.send(reply_to(message))
@@ -34,30 +34,30 @@
         self._writer = writer
         self._sent = sent
         self._received = received
-        self._unwritten: list[bytes] = []
+        self._queued_frames: list[bytes] = []
         self.closed = False
 
     def send(self, message: object) -> None:
-        """Queue one message; raises StreamClosedError if the stream is gone or stuck."""
+        """Queue one message; raises StreamClosedError if the stream is closed or full."""
         if self.closed or self._writer.is_closing():
             raise StreamClosedError("the stream is closed")
         if self._writer.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             self.close()
-            raise StreamClosedError("the peer does not read")
-        if not self._unwritten:
+            raise StreamClosedError("the peer reads too slowly: the send buffer is full")
+        if not self._queued_frames:
             asyncio.get_running_loop().call_soon(self._write)
-        self._unwritten.append(encode(message))
+        self._queued_frames.append(encode(message))
         self._sent[message_name(message)] += 1
 
     def _write(self) -> None:
-        """Hand what was sent in this turn to the connection."""
-        frames = self._unwritten
-        self._unwritten = []
+        """Write the messages queued in this iteration of the event loop to the connection."""
+        frames = self._queued_frames
+        self._queued_frames = []
         if frames and not self._writer.is_closing():
             self._writer.write(b"".join(frames))
 
     async def __aiter__(self) -> AsyncIterator[object]:
-        """Yield messages until the peer closes; raises FrameError on a bad frame."""
+        """Yield messages until the peer closes; raises FrameError on an invalid frame."""
         decoder = Decoder()
         while not self.closed:
             chunk = await self._read()
@@ -68,18 +68,18 @@
                 yield message
 
     def close(self) -> None:
-        """Close the stream; what was sent before is still delivered if it can be."""
+        """Close the stream; messages that were sent before are still delivered if possible."""
         self.closed = True
         self._write()
         self._writer.close()
 
     async def flush(self) -> None:
-        """Wait until the peer's buffers have taken what was sent."""
+        """Wait until the write buffer has drained; raises StreamClosedError."""
         self._write()
         try:
             await self._writer.drain()
         except OSError as error:
-            raise StreamClosedError("the stream broke") from error
+            raise StreamClosedError("the connection was lost") from error
 
     async def _read(self) -> bytes:
         try:
@@ -96,12 +96,12 @@
     tls=None,
     timeout_s: float = CONNECT_TIMEOUT_S,
 ) -> Stream:
-    """Connect to a stream listener; raises StreamClosedError if it can't be reached."""
+    """Connect to a stream listener; raises StreamClosedError if that fails."""
     try:
         connecting = asyncio.open_connection(host, port, ssl=tls)
         reader, writer = await asyncio.wait_for(connecting, timeout_s)
     except (OSError, TimeoutError) as error:
-        raise StreamClosedError(f"no connection to {host}:{port}") from error
+        raise StreamClosedError(f"can't connect to {host}:{port}") from error
     return Stream(reader, writer, sent, received)
 
 
