--- a/src/gapdrum/agents.py
+++ b/src/gapdrum/agents.py
@@ -1,4 +1,4 @@
-"""The agent process: stands beside one runner and starts its tasks."""
+"""The agent process: runs beside one runner and starts its tasks."""
 
 import asyncio
 import signal
@@ -41,10 +41,10 @@
 from gapdrum.timers import Timers
 
 HEARTBEAT_INTERVAL_MS = 1_000
-FORGET_INTERVAL_MS = 1_000
+EVICT_INTERVAL_MS = 1_000
 RETENTION_MS = MAX_DEADLINE_MS + 30_000
 HTTP_THREADS = 4
-DRAIN_POLL_S = 0.05
+DRAIN_CHECK_INTERVAL_S = 0.05
 PROCESS_CHART = load_chart("process")
 SERVING = "serving"
 DRAINING = "draining"
@@ -70,17 +70,17 @@
 
     @property
     def free_slots(self) -> int:
-        """Return the slots of the runner that are free now."""
+        """Return the number of free slots of the runner."""
         return max(0, self.runner.slots - self.running)
 
     # -- messages of entries ------------------------------------------------
 
-    def take(self, link: EntryLink, message: object) -> None:
-        """Act on one message of an entry."""
+    def handle_message(self, link: EntryLink, message: object) -> None:
+        """Handle one message of an entry."""
         now_ms = self.timers.now_ms()
         if isinstance(message, PlaceTasks):
             self.links.record_orders(link, len(message.tasks))
-            self._own(message.job_id, message.epoch, link)
+            self._set_owner(message.job_id, message.epoch, link)
             rows = self.ledger.place(message, now_ms, self.free_slots)
             self._report_rows(link, message.job_id, rows)
             self._start_next()
@@ -90,16 +90,16 @@
         elif isinstance(message, Withdraw):
             self._report_rows(link, message.job_id, self.ledger.withdraw(message))
         elif isinstance(message, Fence):
-            self._own(message.job_id, message.epoch, link)
+            self._set_owner(message.job_id, message.epoch, link)
             link.send(self.ledger.fence(message, now_ms))
         elif isinstance(message, Inquire):
-            self._own(message.job_id, message.epoch, link)
+            self._set_owner(message.job_id, message.epoch, link)
             link.send(self.ledger.inquire(message, now_ms))
         elif isinstance(message, SettingsPush):
-            self._take_settings(message)
+            self._apply_settings(message)
 
     def load_for(self, link: EntryLink) -> RunnerLoad:
-        """Return the load message for an entry, as of now."""
+        """Return the current load message for an entry."""
         now_ms = self.timers.now_ms()
         announcement = self.runner.announcement
         state = STATE_LEAVING if self.state == DRAINING else self.runner.state(now_ms)
@@ -120,8 +120,8 @@
         """Start queued tasks while slots are free."""
         while self.free_slots > 0:
             now_ms = self.timers.now_ms()
-            task, lapsed = self.ledger.next_start(now_ms)
-            for declined in lapsed:
+            task, expired = self.ledger.next_start(now_ms)
+            for declined in expired:
                 self._report(declined)
             if task is None:
                 return
@@ -130,7 +130,7 @@
             self._tasks.spawn(self._run(task))
 
     async def _run(self, task: AttemptRecord) -> None:
-        """Call the runner for one task in a thread and report what came of it."""
+        """Call the runner for one task in a thread and report the outcome."""
         loop = asyncio.get_running_loop()
         started_ms = self.timers.now_ms()
         outcome = await loop.run_in_executor(self._threads, self._call_runner, task)
@@ -142,7 +142,7 @@
         self.links.schedule_load_update()
 
     def _call_runner(self, task: AttemptRecord) -> RunOutcome:
-        """Check the limit directly before the call; a process may have been paused."""
+        """Check the start deadline just before the call: the process may have been paused."""
         if not self.ledger.may_start(task, self.timers.now_ms()):
             drained = self.ledger.zone_drained
             reason = ledgers.REASON_ZONE_DRAINED if drained else ledgers.REASON_LAPSED
@@ -150,19 +150,19 @@
         address = self.runner.announcement.address
         return self._client.run(address, task.job_id, task.key.index, task.payload)
 
-    def _own(self, job_id: str, epoch: int, link: EntryLink) -> None:
-        """Send reports to the entry with the highest epoch, not to one that lost the job."""
+    def _set_owner(self, job_id: str, epoch: int, link: EntryLink) -> None:
+        """Make the entry the job's owner, unless another entry has sent a higher epoch."""
         if epoch >= self.ledger.epoch_of(job_id):
-            self.links.own(job_id, link)
+            self.links.set_owner(job_id, link)
 
     def _report(self, task: AttemptRecord) -> None:
-        """Tell the job's owner; if its stream is gone it will inquire or fence later."""
+        """Report to the job's owner; after a lost stream the owner will inquire or fence."""
         link = self.links.owner_of(task.job_id)
         if link is not None:
             self._report_rows(link, task.job_id, [task.row()])
 
     def _report_rows(self, link: EntryLink, job_id: str, rows: list[AttemptStatus]) -> None:
-        """Report under the highest epoch seen, so that an entry learns that it lost the job."""
+        """Report with the highest epoch seen, so that a superseded owner learns of it."""
         epoch = self.ledger.epoch_of(job_id)
         for row in rows:
             link.send_report(
@@ -179,56 +179,56 @@
     # -- the runner's announcements (called from HTTP threads, run on the loop) ----
 
     def announce(self, announcement: Announcement) -> None:
-        """Take a runner's announcement."""
+        """Apply an announcement of the runner."""
         known = self.runner.announcement
         self.runner.announce(announcement, self.timers.now_ms())
         if known != announcement:
-            logger.info("runner announced {}", announcement)
+            logger.info("runner announced: {}", announcement)
             self.links.send_loads()
         self.ledger.leaving = self.runner.leaving or self.state == DRAINING
         self._start_next()
 
     def leave(self) -> None:
-        """Tell the entries at once that the runner leaves, and hand back the queue."""
+        """Notify the entries at once that the runner leaves, and return the queued tasks."""
         self.runner.leaving = True
         self.ledger.leaving = True
-        logger.info("runner leaving")
+        logger.info("runner is leaving")
         self.links.send_loads()
-        self._hand_back(ledgers.REASON_LEAVING)
+        self._decline_queued(ledgers.REASON_LEAVING)
 
-    def _hand_back(self, reason: str) -> None:
-        """Hand back what waits here for a slot, so that entries place it elsewhere."""
+    def _decline_queued(self, reason: str) -> None:
+        """Decline the queued tasks, so that their entries place them elsewhere."""
         for task in self.ledger.decline_queue(reason):
             self._report(task)
 
     async def drain(self) -> None:
-        """Shut down gracefully: take nothing new, finish what runs, report it."""
+        """Shut down gracefully: accept no new tasks, finish and report the running ones."""
         self.state = PROCESS_CHART.next_state(self.state, "drain")
         self.leave()
         deadline_ms = self.timers.now_ms() + self.config.drain_timeout_ms
         while self.running and self.timers.now_ms() < deadline_ms:
-            await asyncio.sleep(DRAIN_POLL_S)
+            await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
         await self.links.close()
         self.state = PROCESS_CHART.next_state(self.state, "stop")
 
-    def forget(self) -> None:
-        """Drop records past their retention."""
+    def evict_expired(self) -> None:
+        """Remove records whose retention time has passed."""
         self.ledger.forget(self.timers.now_ms())
         self.links.forget_owners(self.ledger)
 
-    def _take_settings(self, message: SettingsPush) -> None:
+    def _apply_settings(self, message: SettingsPush) -> None:
         if message.version <= self.settings.version:
             return
         try:
             tree = load_tree(message.version, message.document)
         except InvalidInputError as error:
-            logger.error("settings refused: {}", error.message)
+            logger.error("received settings are not valid: {}", error.message)
             return
         self.settings.apply_if_newer(tree)
         self.ledger.queue_limit = self.settings.root.agent_queue_limit_tasks
         self.ledger.zone_drained = self.settings.is_zone_drained(self.config.zone)
         if self.ledger.zone_drained:
-            self._hand_back(ledgers.REASON_ZONE_DRAINED)
+            self._decline_queued(ledgers.REASON_ZONE_DRAINED)
         self.metrics.settings_version.set(tree.version)
         self.links.send_loads()
 
@@ -256,7 +256,7 @@
 
 
 async def run_agent(config: AgentConfig) -> None:
-    """Run an agent until SIGTERM or SIGINT, then drain it."""
+    """Run an agent until SIGTERM or SIGINT, then shut it down gracefully."""
     loop = asyncio.get_running_loop()
     agent = Agent(config, Timers())
     stopping = asyncio.Event()
@@ -265,10 +265,10 @@
     server = HttpServer(config.http, build_router(agent, loop), HTTP_THREADS)
     port = server.start()
     agent.state = PROCESS_CHART.next_state(agent.state, "serve")
-    logger.info("agent {} serves on port {}", config.agent_id, port)
+    logger.info("agent {} listens on port {}", config.agent_id, port)
     agent.links.start()
     agent.timers.subscribe(HEARTBEAT_INTERVAL_MS, agent.links.send_loads)
-    agent.timers.subscribe(FORGET_INTERVAL_MS, agent.forget)
+    agent.timers.subscribe(EVICT_INTERVAL_MS, agent.evict_expired)
     await stopping.wait()
     await agent.drain()
     agent.timers.stop()
--- a/src/gapdrum/entries.py
+++ b/src/gapdrum/entries.py
@@ -1,4 +1,4 @@
-"""The entry process: takes jobs over HTTP and dispatches their tasks to agents."""
+"""The entry process: accepts jobs over HTTP and dispatches their tasks to agents."""
 
 import asyncio
 import signal
@@ -33,15 +33,15 @@
 
 HEDGE_INTERVAL_MS = 50
 PROBE_INTERVAL_MS = 250
-PUMP_INTERVAL_MS = 100
-FORGET_INTERVAL_MS = 1_000
-DRAIN_POLL_MS = 20
-ANSWER_GRACE_MS = 300
+PLACE_INTERVAL_MS = 100
+EVICT_INTERVAL_MS = 1_000
+DRAIN_CHECK_INTERVAL_MS = 20
+ANSWER_DELIVERY_MS = 300
 PROCESS_CHART = load_chart("process")
 
 
 class Entry:
-    """The parts of one entry process and its periodic duties."""
+    """The components of one entry process and its periodic tasks."""
 
     def __init__(self, config: EntryConfig, timers: Timers) -> None:
         self.config = config
@@ -67,38 +67,38 @@
         self.links.dispatcher = self.dispatcher
         self.settings.subscribe(self.settings_changed)
         self.state = PROCESS_CHART.initial
-        self._renewal = 0
+        self._renewal_count = 0
 
     def subscribe(self) -> None:
-        """Subscribe the periodic duties to the timer service."""
+        """Subscribe the periodic tasks to the timer service."""
         dispatcher = self.dispatcher
-        duties = (
+        callbacks = (
             (RENEW_INTERVAL_MS, self.renew_lease),
             (RENEW_INTERVAL_MS, self.observe_leases),
             (POLL_INTERVAL_MS, self.configurations.refresh),
-            (HEARTBEAT_INTERVAL_MS, self.links.beat),
+            (HEARTBEAT_INTERVAL_MS, self.links.send_heartbeats),
             (HEDGE_INTERVAL_MS, dispatcher.scheduler.hedge),
-            (PUMP_INTERVAL_MS, dispatcher.scheduler.place_all_waiting),
+            (PLACE_INTERVAL_MS, dispatcher.scheduler.place_all_waiting),
             (PROBE_INTERVAL_MS, dispatcher.scheduler.probe_ejected),
             (FLUSH_INTERVAL_MS, dispatcher.journal.flush),
-            (FORGET_INTERVAL_MS, dispatcher.evict_answers),
-            (FORGET_INTERVAL_MS, self.update_gauges),
+            (EVICT_INTERVAL_MS, dispatcher.evict_answers),
+            (EVICT_INTERVAL_MS, self.update_gauges),
         )
-        for interval_ms, duty in duties:
-            self.timers.subscribe(interval_ms, duty)
+        for interval_ms, callback in callbacks:
+            self.timers.subscribe(interval_ms, callback)
 
     async def renew_lease(self) -> None:
         """Write this entry's lease row; a failure is retried at the next interval."""
-        self._renewal += 1
+        self._renewal_count += 1
         try:
-            write = build_renewal(self._describe())
+            write = build_renewal(self._build_lease())
             await self.committer.call(self.committer.client.transact, [write])
             self.committer.counts["writes"] += 1
         except StoreError:
             return
 
     async def observe_leases(self) -> None:
-        """Read the leases of all entries and share quotas and budget with them."""
+        """Read the leases of all entries, and divide quotas and the store budget between them."""
         try:
             await self.dispatcher.observe_leases()
         except StoreError:
@@ -110,14 +110,14 @@
         self.committer.budget.rate_per_s = max(1, writes_per_s / (1 + len(peers)))
 
     def settings_changed(self) -> None:
-        """Push the settings that came into force to the agents."""
+        """Apply settings that came into force, and send them to the agents."""
         logger.info("settings version {} in force", self.settings.version)
         self.metrics.settings_version.set(self.settings.version)
         self.dispatcher.members.apply_drains(self._is_drained)
         self.links.push_settings()
 
     def update_gauges(self) -> None:
-        """Bring the gauges up to date."""
+        """Set the gauges to their current values."""
         scheduler = self.dispatcher.scheduler
         upstreams = {view.upstream for view in self.dispatcher.members}
         self.metrics.queue_depth.set(sum(scheduler.queued(name) for name in upstreams))
@@ -128,23 +128,23 @@
         self.metrics.store_writes.set(self.committer.counts["writes"])
 
     def is_ready(self) -> bool:
-        """Tell the balancer whether to send callers here."""
+        """Return whether a load balancer may send callers to this entry."""
         return self.state == "serving" and self.has_settings
 
     @property
     def has_settings(self) -> bool:
-        """Tell whether the settings in force are known, from the store or from agents."""
+        """Return whether the settings are known, from the store or from agents."""
         return self.configurations.known or self.settings.version > 0
 
     async def drain(self) -> None:
-        """Shut down gracefully: refuse new work, answer what is open, flush the journal."""
+        """Shut down gracefully: refuse new jobs, answer the open ones, flush the journal."""
         self.state = PROCESS_CHART.next_state(self.state, "drain")
         self.dispatcher.leaving = True
         await self.renew_lease()
         deadline_ms = self.timers.now_ms() + self.config.drain_timeout_ms
         while self.dispatcher.scheduler.open_jobs and self.timers.now_ms() < deadline_ms:
-            await asyncio.sleep(DRAIN_POLL_MS / MS_PER_S)
-        await asyncio.sleep(ANSWER_GRACE_MS / MS_PER_S)
+            await asyncio.sleep(DRAIN_CHECK_INTERVAL_MS / MS_PER_S)
+        await asyncio.sleep(ANSWER_DELIVERY_MS / MS_PER_S)
         self.links.announce_leaving()
         await self.dispatcher.journal.flush()
         self.state = PROCESS_CHART.next_state(self.state, "stop")
@@ -153,7 +153,7 @@
         runner_mode = self.settings.for_runner(agent_id).runner_mode
         return runner_mode == DRAINED or self.settings.is_zone_drained(zone)
 
-    def _describe(self) -> EntryRecord:
+    def _build_lease(self) -> EntryRecord:
         agents = [view.settings_version for view in self.dispatcher.members]
         return EntryRecord(
             self.owner.entry_id,
@@ -161,7 +161,7 @@
             self.config.zone,
             self.config.streams.host,
             self.config.streams.port,
-            self._renewal,
+            self._renewal_count,
             self.state == "draining",
             self.settings.version,
             min(agents, default=self.settings.version),
@@ -181,7 +181,7 @@
 
 
 async def run_entry(config: EntryConfig) -> None:
-    """Run an entry until SIGTERM or SIGINT, then drain it."""
+    """Run an entry until SIGTERM or SIGINT, then shut it down gracefully."""
     loop = asyncio.get_running_loop()
     entry = Entry(config, Timers())
     stopping = asyncio.Event()
@@ -192,13 +192,13 @@
     )
     server = HttpServer(config.http, build_router(entry, loop), config.http_threads, config.tls)
     await entry.configurations.refresh()
-    # The lease comes first: a claim by an entry without one looks like a dead owner's.
+    # Renew before serving: peers treat the claims of an entry without a lease as a lost owner's.
     await entry.renew_lease()
     await entry.observe_leases()
     port = server.start()
     entry.subscribe()
     entry.state = PROCESS_CHART.next_state(entry.state, "serve")
-    logger.info("entry {} serves on port {}", config.entry_id, port)
+    logger.info("entry {} listens on port {}", config.entry_id, port)
     await stopping.wait()
     await entry.drain()
     entry.timers.stop()
--- a/src/gapdrum/links.py
+++ b/src/gapdrum/links.py
@@ -1,4 +1,4 @@
-"""The entry's stream listener: agents and peers connect here, each on one stream."""
+"""The entry's stream listener, to which agents and peers connect with one stream each."""
 
 import asyncio
 import hmac
@@ -31,7 +31,7 @@
 
 
 class AgentLinks:
-    """All agent streams of this entry, and what their messages cause."""
+    """The streams of all connected agents; passes their messages to the dispatcher."""
 
     def __init__(self, token: str, metrics: Metrics) -> None:
         self._token = token.encode()
@@ -41,14 +41,14 @@
         self.dispatcher: Dispatcher | None = None
 
     def send(self, agent: AgentKey, message: object) -> None:
-        """Send to one life of an agent; raises StreamClosedError."""
+        """Send a message to one incarnation of an agent; raises StreamClosedError."""
         stream = self._streams.get(agent)
         if stream is None:
             raise StreamClosedError("the agent is not connected")
         stream.send(message)
 
     def broadcast(self, message: object) -> None:
-        """Send to all connected agents."""
+        """Send a message to all connected agents."""
         for agent in list(self._streams):
             try:
                 self.send(agent, message)
@@ -56,24 +56,24 @@
                 self._streams[agent].close()
 
     def push_settings(self) -> None:
-        """Give all agents the settings in force."""
+        """Send the settings in force to all agents."""
         tree = self.dispatcher.settings.tree
         self.broadcast(SettingsPush(tree.version, dump_tree(tree)))
 
     def announce_leaving(self) -> None:
-        """Tell all agents that this entry shuts down."""
+        """Notify all agents that this entry shuts down."""
         self.broadcast(EntryLeaving(self.dispatcher.owner.entry_id))
 
-    def beat(self) -> None:
-        """Send heartbeats, and cut streams that have been silent for too long."""
+    def send_heartbeats(self) -> None:
+        """Send a heartbeat to each agent, and close streams that have been silent for too long."""
         for agent in list(self._streams):
-            self._beat_one(agent)
+            self._send_heartbeat(agent)
         limit_ms = self.dispatcher.timers.now_ms() - HEARTBEAT_TIMEOUT_MS
         for agent, heard_at_ms in list(self._heard_at_ms.items()):
             if heard_at_ms < limit_ms and agent in self._streams:
                 self._streams[agent].close()
 
-    def _beat_one(self, agent: AgentKey) -> None:
+    def _send_heartbeat(self, agent: AgentKey) -> None:
         dispatcher = self.dispatcher
         view = dispatcher.members.find_incarnation(agent)
         waiting = dispatcher.scheduler.queued(view.upstream) if view is not None else 0
@@ -83,7 +83,7 @@
             self._streams[agent].close()
 
     async def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one incoming stream until it ends; its errors end only itself."""
+        """Serve one incoming stream until it ends; an error closes only this stream."""
         stream = Stream(reader, writer, self._metrics.sent, self._metrics.received)
         try:
             await self._serve(stream)
@@ -103,15 +103,15 @@
             await self._serve_agent(stream, messages, first)
         elif isinstance(first, PeerHello):
             self._check_token(first.token)
-            await serve_peer(stream, messages, self._hello(), self.dispatcher)
+            await serve_peer(stream, messages, self._build_hello(), self.dispatcher)
         elif first is not None:
-            raise FrameError("a stream must start with a hello")
+            raise FrameError("the first message must be AgentHello or PeerHello")
 
     def _check_token(self, token: str) -> None:
         if not hmac.compare_digest(token.encode(), self._token):
-            raise UnauthorizedError("the stream token is wrong")
+            raise UnauthorizedError("the stream token is not valid")
 
-    def _hello(self) -> EntryHello:
+    def _build_hello(self) -> EntryHello:
         dispatcher = self.dispatcher
         return EntryHello(
             dispatcher.owner.entry_id, dispatcher.owner.incarnation, dispatcher.settings.version
@@ -125,23 +125,23 @@
         if previous is not None:
             previous.close()
         self._streams[agent] = stream
-        self._note(agent, reasons.RUNNER_JOINED)
+        self._record_decision(agent, reasons.RUNNER_JOINED)
         if ended is not None:
             dispatcher.agent_gone(ended.agent, reasons.AGENT_GONE)
-        stream.send(self._hello())
+        stream.send(self._build_hello())
         tree = dispatcher.settings.tree
         stream.send(SettingsPush(tree.version, dump_tree(tree)))
         dispatcher.scheduler.inquire(agent)
         try:
             async for message in messages:
                 self._heard_at_ms[agent] = dispatcher.timers.now_ms()
-                self._take(view, message)
+                self._handle_message(view, message)
         finally:
             if self._streams.get(agent) is stream:
-                self._lose(view)
+                self._on_disconnect(view)
 
-    def _take(self, view: RunnerView, message: object) -> None:
-        """Act on one message of an agent."""
+    def _handle_message(self, view: RunnerView, message: object) -> None:
+        """Handle one message of an agent."""
         dispatcher = self.dispatcher
         now_ms = dispatcher.timers.now_ms()
         if isinstance(message, TaskReport):
@@ -156,23 +156,23 @@
             dispatcher.scheduler.place_waiting(view.upstream)
         elif isinstance(message, RunnerLoad):
             if dispatcher.members.update_load(view, message, now_ms):
-                self._note(view.agent, f"runner_{view.state}")
+                self._record_decision(view.agent, f"runner_{view.state}")
             dispatcher.scheduler.place_waiting(view.upstream)
         elif isinstance(message, SettingsPush):
-            self._take_settings(message)
+            self._apply_settings(message)
         elif isinstance(message, JobHoldings):
             dispatcher.apply_holdings(view.agent, message)
         else:
             raise FrameError(f"unexpected message {type(message).__name__}")
 
-    def _take_settings(self, message: SettingsPush) -> None:
-        """Take newer settings that an agent knows: the store may be down or stale."""
+    def _apply_settings(self, message: SettingsPush) -> None:
+        """Apply settings from an agent if they are newer: the store may be down or stale."""
         settings = self.dispatcher.settings
         if message.version > settings.version:
             settings.apply_if_newer(load_tree(message.version, message.document))
 
-    def _lose(self, view: RunnerView) -> None:
-        """Wait a while for the return of an agent whose stream broke."""
+    def _on_disconnect(self, view: RunnerView) -> None:
+        """Mark an agent whose stream closed as silent; it may reconnect within a time limit."""
         dispatcher = self.dispatcher
         agent = view.agent
         del self._streams[agent]
@@ -180,18 +180,18 @@
         if dispatcher.members.find_incarnation(agent) is not view:
             return
         view.apply("silent")
-        self._note(agent, reasons.RUNNER_SILENT)
+        self._record_decision(agent, reasons.RUNNER_SILENT)
         silence_ms = dispatcher.settings.for_upstream(view.upstream).agent_silence_ms
-        dispatcher.timers.call_after(silence_ms, lambda: self._give_up(view))
+        dispatcher.timers.call_after(silence_ms, lambda: self._expire_silent(view))
 
-    def _give_up(self, view: RunnerView) -> None:
+    def _expire_silent(self, view: RunnerView) -> None:
         dispatcher = self.dispatcher
         if view.state != SILENT or dispatcher.members.find_incarnation(view.agent) is not view:
             return
         dispatcher.members.forget(view)
         dispatcher.agent_gone(view.agent, reasons.AGENT_SILENT)
 
-    def _note(self, agent: AgentKey, code: str) -> None:
+    def _record_decision(self, agent: AgentKey, code: str) -> None:
         dispatcher = self.dispatcher
         dispatcher.decisions.record(
             dispatcher.timers.wall_ms(),
--- a/src/gapdrum/peers.py
+++ b/src/gapdrum/peers.py
@@ -1,4 +1,4 @@
-"""Requests between entries: the owner of a job is asked for what only it knows."""
+"""Requests between entries, for what only the owner of a job knows."""
 
 import asyncio
 import itertools
@@ -23,7 +23,7 @@
 
 
 def peer_handler(kind: str) -> Callable[[Handler], Handler]:
-    """Register what answers a kind of peer request, given the dispatcher and the request."""
+    """Register the handler of a kind of peer request; it gets the dispatcher and the request."""
 
     def register(function: Handler) -> Handler:
         HANDLERS[kind] = function
@@ -33,29 +33,29 @@
 
 
 class PeerLink:
-    """A stream to one life of another entry, with the requests that await a reply."""
+    """A stream to one incarnation of another entry, with its pending requests."""
 
     def __init__(self, stream: Stream) -> None:
         self.stream = stream
-        self.waiting: dict[int, asyncio.Future] = {}
+        self.pending: dict[int, asyncio.Future] = {}
 
     async def receive(self) -> None:
-        """Resolve replies until the stream ends, then fail what still waits."""
+        """Resolve requests by their replies until the stream ends, then fail the pending ones."""
         try:
             async for message in self.stream:
                 if isinstance(message, PeerReply):
-                    future = self.waiting.pop(message.request_id, None)
+                    future = self.pending.pop(message.request_id, None)
                     if future is not None and not future.done():
                         future.set_result(message.document)
         finally:
             self.stream.close()
-            for future in self.waiting.values():
+            for future in self.pending.values():
                 if not future.done():
-                    future.set_exception(StreamClosedError("the peer is gone"))
+                    future.set_exception(StreamClosedError("the peer closed the stream"))
 
 
 class PeerClient:
-    """Opens streams to other entries when they are needed and keeps them."""
+    """Sends requests to other entries, on streams that are opened on demand and reused."""
 
     def __init__(self, entry_id: str, token: str, metrics: Metrics, tls=None) -> None:
         self._hello = PeerHello(entry_id, token, 0)
@@ -66,11 +66,11 @@
         self._ids = itertools.count(1)
 
     async def send_request(self, record: EntryRecord, kind: str, job_id: str, wait_ms: int) -> str:
-        """Return an entry's reply; raises StreamClosedError if it can't be reached."""
+        """Return another entry's reply; raises StreamClosedError if none comes in time."""
         link = await self._link_to(record)
         request = PeerRequest(next(self._ids), kind, job_id, wait_ms)
         future = asyncio.get_running_loop().create_future()
-        link.waiting[request.request_id] = future
+        link.pending[request.request_id] = future
         link.stream.send(request)
         try:
             timeout_s = (wait_ms + REPLY_MARGIN_MS) / MS_PER_S
@@ -78,7 +78,7 @@
         except TimeoutError as error:
             raise StreamClosedError("the peer did not reply in time") from error
         finally:
-            link.waiting.pop(request.request_id, None)
+            link.pending.pop(request.request_id, None)
 
     async def _link_to(self, record: EntryRecord) -> PeerLink:
         key = (record.entry_id, record.incarnation)
@@ -101,7 +101,7 @@
 async def serve_peer(
     stream: Stream, messages: AsyncIterator, hello: EntryHello, dispatcher: object
 ) -> None:
-    """Answer the requests of a peer until it closes its stream."""
+    """Answer a peer's requests until it closes its stream."""
     stream.send(hello)
     tasks: set[asyncio.Task] = set()
     async for message in messages:
