--- a/src/gapdrum/runners.py
+++ b/src/gapdrum/runners.py
@@ -1,4 +1,4 @@
-"""The agent's side of its runner: what it announced, and the calls that start tasks."""
+"""The agent's view of its runner: the last announcement, and the calls that start tasks."""
 
 from http.client import HTTPException
 
@@ -25,7 +25,7 @@
 
 @attrs.frozen
 class Announcement:
-    """What a runner says of itself, every second or so."""
+    """A runner's periodic announcement of its upstream, capacity and address."""
 
     upstream: str = text_field()
     slots: int = count_field(MAX_SLOTS, 1)
@@ -36,7 +36,7 @@
 
 @attrs.define
 class Runner:
-    """The runner beside this agent as last announced."""
+    """The runner beside this agent, as last announced."""
 
     announcement: Announcement | None = None
     heard_at_ms: int = 0
@@ -44,25 +44,25 @@
 
     @property
     def slots(self) -> int:
-        """Return how many tasks the runner takes at once."""
+        """Return how many tasks the runner can run at once."""
         if self.announcement is None:
             return 0
         return min(self.announcement.slots, self.announcement.connections)
 
     def announce(self, announcement: Announcement, now_ms: int) -> None:
-        """Take an announcement.
+        """Apply an announcement.
 
-        A runner that said it leaves may announce until it is gone; only one
-        that was away, or is another one, takes the leave back.
+        A leaving runner may go on announcing until it ends.  Its leaving flag is
+        reset only if announcements had stopped, or if this one differs from the last.
         """
-        was_away = now_ms - self.heard_at_ms > ANNOUNCE_TIMEOUT_MS
-        if was_away or announcement != self.announcement:
+        had_stopped = now_ms - self.heard_at_ms > ANNOUNCE_TIMEOUT_MS
+        if had_stopped or announcement != self.announcement:
             self.leaving = False
         self.announcement = announcement
         self.heard_at_ms = now_ms
 
     def state(self, now_ms: int) -> str:
-        """Return the state that the agent tells the entries."""
+        """Return the state that the agent reports to the entries."""
         if self.announcement is None or now_ms - self.heard_at_ms > ANNOUNCE_TIMEOUT_MS:
             return STATE_ABSENT
         return STATE_LEAVING if self.leaving else STATE_READY
@@ -70,7 +70,7 @@
 
 @attrs.frozen
 class RunOutcome:
-    """How a call to the runner ended: an event of the chart ``held_task`` and why."""
+    """How a call to the runner ended: an event of the chart ``held_task`` and its reason."""
 
     event: str
     reason: str
@@ -78,15 +78,15 @@
 
 
 class RunnerClient:
-    """Blocking HTTP calls to the runner, one thread and one connection each."""
+    """Blocking HTTP calls to the runner; each has its own thread and connection."""
 
     @staticmethod
     def run(address: Address, job_id: str, index: int, payload: str) -> RunOutcome:
         """Start one task and wait for its end.
 
-        Only a connection that was not made proves that the task did not start;
-        any other broken call may have reached the runner.  A kept connection
-        may be closed by the runner unseen, so each task has its own.
+        Only a failure to connect proves that the task did not start; any other
+        failed call may have reached the runner.  Connections are not reused, as
+        the runner may close an idle one while a request is being sent on it.
         """
         connection = HTTPConnection(address.host, address.port, timeout=CONNECT_TIMEOUT_S)
         try:
--- a/src/gapdrum/sessions.py
+++ b/src/gapdrum/sessions.py
@@ -1,4 +1,4 @@
-"""The client side: a session with the entries that repeats idempotently until answered."""
+"""The HTTP client of callers: a session that retries idempotent requests until answered."""
 
 import itertools
 import json
@@ -12,8 +12,8 @@
 from gapdrum.exceptions import Finding, GapdrumError, NotFoundError, RefusedError
 from gapdrum.models import Answer, Submission
 
-DEFAULT_PATIENCE_MS = 60_000
-DEFAULT_PAUSE_MS = 200
+DEFAULT_TIMEOUT_MS = 60_000
+DEFAULT_RETRY_PAUSE_MS = 200
 READ_MARGIN_S = 5
 POOL_SIZE = 256
 MS_PER_S = 1000
@@ -22,8 +22,8 @@
 class Session:
     """Calls the entries over HTTP with one token.
 
-    The same key is sent again after a lost connection or a refusal that says
-    when to come back, to the next entry in turn, so a caller gets one answer::
+    A submission is retried under the same key at the next entry, after a lost
+    connection or a refusal with a retry time, so a caller gets one answer::
 
         with Session(["http://127.0.0.1:8080"], token="...") as session:
             answer = session.submit(submission)
@@ -31,49 +31,51 @@
 
     def __init__(self, base_urls: list[str], token: str) -> None:
         self._base_urls = [url.rstrip("/") for url in base_urls]
-        self._turn = itertools.count()
+        self._url_counter = itertools.count()
         self._headers = {"Authorization": f"Bearer {token}"}
         self._pool = urllib3.PoolManager(maxsize=POOL_SIZE, retries=False)
 
     def __enter__(self) -> "Session":
-        """Return the session itself."""
+        """Return this session."""
         return self
 
     def __exit__(self, *_error: object) -> None:
         """Close the connections."""
         self._pool.clear()
 
-    def submit(self, submission: Submission, patience_ms: int = DEFAULT_PATIENCE_MS) -> Answer:
-        """Return the whole answer of a submission, asking again while that may help.
+    def submit(self, submission: Submission, timeout_ms: int = DEFAULT_TIMEOUT_MS) -> Answer:
+        """Return the answer of a submission, retrying until it is known.
 
-        Raises RefusedError and the other errors of ``exceptions`` once no
-        further try makes sense or patience is at its end.
+        Raises RefusedError or another error of ``exceptions`` if a retry can't
+        help or if the timeout has passed.
         """
         body = json.dumps(unstructure(submission)).encode()
-        limit_s = time.monotonic() + patience_ms / MS_PER_S
+        deadline_s = time.monotonic() + timeout_ms / MS_PER_S
         while True:
-            left_ms = max(1, int((limit_s - time.monotonic()) * MS_PER_S))
-            status, document = self._try("POST", f"/v1/jobs?wait_ms={min(left_ms, 120_000)}", body)
+            left_ms = max(1, int((deadline_s - time.monotonic()) * MS_PER_S))
+            status, document = self._request(
+                "POST", f"/v1/jobs?wait_ms={min(left_ms, 120_000)}", body
+            )
             if status == 200:
                 return structure(document, Answer)
             pause_ms = document.get("retry_after_ms")
             if status != 202 and pause_ms is None:
                 raise _build_error(status, document)
-            if time.monotonic() + (pause_ms or 0) / MS_PER_S >= limit_s:
+            if time.monotonic() + (pause_ms or 0) / MS_PER_S >= deadline_s:
                 raise _build_error(status, document)
-            time.sleep((pause_ms or DEFAULT_PAUSE_MS) / MS_PER_S)
+            time.sleep((pause_ms or DEFAULT_RETRY_PAUSE_MS) / MS_PER_S)
 
     def call(self, method: str, path: str, document: Any = None) -> Any:
-        """Make one call and return its JSON document; raises the error it answers with."""
+        """Make one call and return its JSON document; raises the error of the response."""
         body = json.dumps(document).encode() if document is not None else None
-        status, answer = self._try(method, path, body)
+        status, answer = self._request(method, path, body)
         if status not in (200, 202):
             raise _build_error(status, answer)
         return answer
 
-    def _try(self, method: str, path: str, body: bytes | None) -> tuple[int, Any]:
-        """Call the next entry; an entry that can't be reached counts as a refusal."""
-        url = self._base_urls[next(self._turn) % len(self._base_urls)]
+    def _request(self, method: str, path: str, body: bytes | None) -> tuple[int, Any]:
+        """Call the next entry; an unreachable entry is returned as status 503 with a retry time."""
+        url = self._base_urls[next(self._url_counter) % len(self._base_urls)]
         try:
             response = self._pool.request(
                 method,
@@ -86,11 +88,11 @@
         except (HTTPError, ValueError) as error:
             message = f"no answer from {url}: {type(error).__name__}"
             document = {"code": "entry_unreachable", "message": message}
-            return 503, {**document, "retry_after_ms": DEFAULT_PAUSE_MS}
+            return 503, {**document, "retry_after_ms": DEFAULT_RETRY_PAUSE_MS}
 
 
 def _build_error(status: int, document: dict[str, Any]) -> GapdrumError:
-    """Return the error that a response stands for, with the server's code."""
+    """Return the error of a response, with the server's code."""
     message = document.get("message", f"status {status}")
     retry_ms = document.get("retry_after_ms")
     if "run_state" in document:
