--- a/src/gapdrum/administration.py
+++ b/src/gapdrum/administration.py
@@ -1,4 +1,4 @@
-"""The HTTP resources of an entry for operators: settings, runners, teams, open jobs."""
+"""The HTTP resources of an entry for operators: settings, runners, teams and open jobs."""
 
 import asyncio
 
@@ -12,13 +12,13 @@
 
 CALL_TIMEOUT_S = 30
 MAX_WAIT_MS = 60_000
-POLL_S = 0.1
+CHECK_INTERVAL_S = 0.1
 MS_PER_S = 1000
 
 
 @attrs.frozen
 class EffectiveValue:
-    """A setting in force at a node, and the node it comes from (None: built in)."""
+    """A setting in force at a node, and the node that sets it (None: built-in default)."""
 
     name: str
     value: int | str
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class RunnerRow:
-    """A runner as this entry sees it."""
+    """The state and load of a runner, as known to this entry."""
 
     agent_id: str
     upstream: str
@@ -44,7 +44,7 @@
 
 @attrs.frozen
 class EntryRow:
-    """An entry as its lease row tells: which settings it and its agents have in force."""
+    """An entry's lease row: the settings versions in force at the entry and at its agents."""
 
     entry_id: str
     zone: str
@@ -74,12 +74,12 @@
         router.route("GET", "/v1/status")(self.show_summary)
 
     def show_tree(self, request: Request) -> Response:
-        """Return the settings tree in force here, with its version."""
+        """Return the settings tree in force at this entry, with its version."""
         self._credentials.require(request.token, OPERATOR)
         return Response(unstructure(self._entry.settings.tree))
 
     def show_effective(self, request: Request) -> Response:
-        """Return the values in force at a node, each with the node it comes from."""
+        """Return the values in force at a node, each with the node that sets it."""
         self._credentials.require(request.token, OPERATOR)
         path = request.parts["path"]
         tree = self._entry.settings.tree
@@ -92,22 +92,22 @@
         return Response({"path": path, "version": tree.version, "values": rows})
 
     def change(self, request: Request) -> Response:
-        """Accept changes, or refuse them with all findings; a dry run accepts nothing."""
+        """Apply changes, or refuse them with all findings; a dry run only checks them."""
         operator = self._credentials.require(request.token, OPERATOR)
-        wanted = structure(request.json(), ChangeRequest)
-        for value in wanted.changes:
+        change_request = structure(request.json(), ChangeRequest)
+        for value in change_request.changes:
             require_subtree(operator, value.path)
-        record = self._call(self._entry.configurations.change(wanted, operator.name))
+        record = self._call(self._entry.settings_store.change(change_request, operator.name))
         return Response(unstructure(record))
 
     def show_history(self, request: Request) -> Response:
         """Return the audit trail, oldest first."""
         self._credentials.require(request.token, OPERATOR)
-        records = self._call(self._entry.configurations.history())
+        records = self._call(self._entry.settings_store.history())
         return Response({"changes": [unstructure(record) for record in records]})
 
     def show_status(self, request: Request) -> Response:
-        """Tell whether a version is in force everywhere, waiting for it if asked to."""
+        """Return whether a version is in force everywhere, after waiting for up to ``wait_ms``."""
         self._credentials.require(request.token, OPERATOR)
         version = request.int_option("version", self._entry.settings.version, 2**31)
         wait_ms = request.int_option("wait_ms", 0, MAX_WAIT_MS)
@@ -116,16 +116,16 @@
         return Response({"version": version, "in_force": in_force, "entries": entries})
 
     def list_runners(self, request: Request) -> Response:
-        """Return all runners that this entry knows."""
+        """Return all runners known to this entry."""
         self._credentials.require(request.token, OPERATOR)
         rows = self._call(self._collect_runners())
         return Response({"runners": [unstructure(row) for row in rows]})
 
     def explain_runner(self, request: Request) -> Response:
-        """Return the decisions this entry made on a runner."""
+        """Return the decisions that this entry made about a runner."""
         self._credentials.require(request.token, OPERATOR)
-        steps = self._entry.dispatcher.explain(f"runner:{request.parts['agent']}")
-        return Response({"decisions": [unstructure(row) for row in self._call(steps)]})
+        coroutine = self._entry.dispatcher.explain(f"runner:{request.parts['agent']}")
+        return Response({"decisions": [unstructure(row) for row in self._call(coroutine)]})
 
     def list_teams(self, request: Request) -> Response:
         """Return the running tasks and this entry's share of the limits, by team."""
@@ -138,12 +138,12 @@
         return Response({"jobs": self._call(self._collect_jobs())})
 
     def show_summary(self, request: Request) -> Response:
-        """Return one page of what an operator wants to know first."""
+        """Return a summary of this entry's state."""
         self._credentials.require(request.token, OPERATOR)
         return Response(self._call(self._summarize()))
 
     async def _wait_in_force(self, version: int, wait_ms: int) -> tuple[list[EntryRow], bool]:
-        limit_ms = self._entry.timers.now_ms() + wait_ms
+        deadline_ms = self._entry.timers.now_ms() + wait_ms
         while True:
             rows = [
                 EntryRow(
@@ -158,9 +158,9 @@
                 (min(row.settings_version, row.agents_settings_version) for row in rows),
                 default=0,
             )
-            if lowest >= version or self._entry.timers.now_ms() >= limit_ms:
+            if lowest >= version or self._entry.timers.now_ms() >= deadline_ms:
                 return rows, lowest >= version
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
     async def _collect_runners(self) -> list[RunnerRow]:
         return [
@@ -205,5 +205,5 @@
             "entries": len(entry.dispatcher.leases.alive()),
         }
 
-    def _call(self, steps, timeout_s: float = CALL_TIMEOUT_S):
-        return run_on_loop(self._loop, steps, timeout_s)
+    def _call(self, coroutine, timeout_s: float = CALL_TIMEOUT_S):
+        return run_on_loop(self._loop, coroutine, timeout_s)
--- a/src/gapdrum/api.py
+++ b/src/gapdrum/api.py
@@ -1,4 +1,4 @@
-"""The calls that most programs need; each opens a session for one call.
+"""Functions for single calls to an entry; each opens a session of its own.
 
 ::
 
@@ -12,13 +12,13 @@
 
 
 def submit(url: str, token: str, submission: Submission) -> Answer:
-    """Submit a job and return its whole answer."""
+    """Submit a job and return its answer."""
     with Session([url], token) as session:
         return session.submit(submission)
 
 
 def fetch(url: str, token: str, team: str, key: str) -> Any:
-    """Return the answer of a job, or its progress."""
+    """Return the answer to a job, or its progress if there is no answer yet."""
     with Session([url], token) as session:
         return session.call("GET", f"/v1/jobs/{team}/{key}")
 
@@ -30,6 +30,6 @@
 
 
 def explain(url: str, token: str, team: str, key: str) -> Any:
-    """Return the decisions made on a job."""
+    """Return the decisions about a job."""
     with Session([url], token) as session:
         return session.call("GET", f"/v1/jobs/{team}/{key}/decisions")
--- a/src/gapdrum/config.py
+++ b/src/gapdrum/config.py
@@ -1,8 +1,7 @@
-"""The start-up configuration of a process: JSON with comments, checked, with places.
+"""The start-up configuration of a process, read from a file of JSON with comments.
 
-This is what an instance learns from its settings file: its name, zone,
-addresses and credentials.  What operators change at run time is in
-``settings``.
+It holds the identity, availability zone, addresses and credentials of an
+instance.  The settings that operators change at run time are in ``settings``.
 """
 
 from pathlib import Path
@@ -31,7 +30,7 @@
 
 @attrs.frozen
 class Tls:
-    """Paths of the certificate and its key, for the HTTP listener."""
+    """Paths of the certificate and the private key of the HTTP listener."""
 
     certificate: str = text_field(4_096)
     key: str = text_field(4_096)
@@ -39,11 +38,11 @@
 
 @attrs.frozen
 class Credential:
-    """A token, whom it names, and what it may do.
+    """A token, its holder's name and what the holder may do.
 
     ``role`` is ``caller``, ``operator``, ``agent``, ``peer`` or ``runner``;
-    ``teams`` limits callers and operators, empty means all; ``subtrees``
-    limits the settings nodes that an operator may change, empty means all.
+    ``teams`` limits the teams of callers and operators, ``subtrees`` the
+    settings nodes that an operator may change; an empty list means no limit.
     """
 
     name: str = text_field()
@@ -91,7 +90,7 @@
 def load_config(path: Path, target: type[T]) -> T:
     """Return the file's content as a ``target``; raises InvalidInputError with all findings.
 
-    A finding's place is ``file:line path``, such as ``entry.json:7 $.http.port``.
+    The place of a finding has the form ``file:line path``: ``entry.json:7 $.http.port``.
     """
     try:
         source = path.read_text()
@@ -100,7 +99,7 @@
     try:
         data = json5.loads(source)
         lines = _map_lines(json5.loads(source, loader=ModelLoader()).value, "$")
-    except Exception as error:  # the library raises several kinds for broken input
+    except Exception as error:  # json5 raises several exception types for invalid input
         finding = Finding(str(path), f"not JSON with comments: {error}")
         raise InvalidInputError("the file has findings", findings=(finding,)) from error
     try:
@@ -119,7 +118,7 @@
 
 
 def _map_lines(node: object, place: str) -> dict[str, int]:
-    """Return the line of every path in a parsed document."""
+    """Return the line number of each path in a parsed document."""
     lines = {place: getattr(node, "lineno", 1) or 1}
     if isinstance(node, JSONObject):
         for key, value in zip(node.keys, node.values, strict=True):
--- a/src/gapdrum/credentials.py
+++ b/src/gapdrum/credentials.py
@@ -1,4 +1,4 @@
-"""Who may do what: bearer tokens, compared in constant time and never logged."""
+"""Authorization by bearer tokens, which are compared in constant time and never logged."""
 
 import hmac
 
@@ -11,15 +11,15 @@
 
 
 class Credentials:
-    """The tokens of a process's configuration."""
+    """The credentials in the configuration of a process."""
 
     def __init__(self, credentials: list[Credential]) -> None:
         self._credentials = credentials
 
     def identify(self, token: str) -> Credential:
-        """Return whose token this is; raises UnauthorizedError.
+        """Return the credential of a token; raises UnauthorizedError.
 
-        Every known token is compared, so that the time tells nothing.
+        The token is compared with every known one, so that the time reveals nothing.
         """
         given = token.encode()
         found = None
@@ -27,18 +27,18 @@
             if hmac.compare_digest(given, credential.token.encode()):
                 found = credential
         if found is None:
-            raise UnauthorizedError("a valid bearer token is needed")
+            raise UnauthorizedError("a valid bearer token is required")
         return found
 
     def require(self, token: str, *roles: str) -> Credential:
-        """Return whose token this is if it has one of the roles."""
+        """Return the credential of a token; raises ForbiddenError if it has none of the roles."""
         credential = self.identify(token)
         if credential.role not in roles:
             raise ForbiddenError(f"the role {credential.role} may not do this")
         return credential
 
     def require_team(self, token: str, team: str) -> Credential:
-        """Return whose token this is if it covers the team."""
+        """Return the credential of a token; raises ForbiddenError unless it covers the team."""
         credential = self.require(token, CALLER, OPERATOR)
         if credential.teams and team not in credential.teams:
             raise ForbiddenError("the token does not cover this team")
--- a/src/gapdrum/entries.py
+++ b/src/gapdrum/entries.py
@@ -52,7 +52,7 @@
         self.committer = Committer(
             StoreClient(config.store_url), timers, self.settings.root.store_writes_per_s
         )
-        self.configurations = SettingsStore(self.committer, self.settings, timers)
+        self.settings_store = SettingsStore(self.committer, self.settings, timers)
         self.links = AgentLinks(config.stream_token, self.metrics)
         self.dispatcher = Dispatcher(
             self.owner,
@@ -75,7 +75,7 @@
         callbacks = (
             (RENEW_INTERVAL_MS, self.renew_lease),
             (RENEW_INTERVAL_MS, self.observe_leases),
-            (POLL_INTERVAL_MS, self.configurations.refresh),
+            (POLL_INTERVAL_MS, self.settings_store.refresh),
             (HEARTBEAT_INTERVAL_MS, self.links.send_heartbeats),
             (HEDGE_INTERVAL_MS, dispatcher.scheduler.hedge),
             (PLACE_INTERVAL_MS, dispatcher.scheduler.place_all_waiting),
@@ -134,7 +134,7 @@
     @property
     def has_settings(self) -> bool:
         """Return whether the settings are known, from the store or from agents."""
-        return self.configurations.known or self.settings.version > 0
+        return self.settings_store.is_loaded or self.settings.version > 0
 
     async def drain(self) -> None:
         """Shut down gracefully: refuse new jobs, answer the open ones, flush the journal."""
@@ -191,7 +191,7 @@
         entry.links.accept, config.streams.host, config.streams.port
     )
     server = HttpServer(config.http, build_router(entry, loop), config.http_threads, config.tls)
-    await entry.configurations.refresh()
+    await entry.settings_store.refresh()
     # Renew before serving: peers treat the claims of an entry without a lease as a lost owner's.
     await entry.renew_lease()
     await entry.observe_leases()
--- a/src/gapdrum/http.py
+++ b/src/gapdrum/http.py
@@ -1,7 +1,7 @@
-"""The HTTP interface of the programs: a registry of routes, JSON in and out, errors with codes.
+"""The HTTP server of a process: a router, JSON requests and responses, errors with codes.
 
-Handlers run in threads of their own.  What they need of the program's event loop they call
-through ``run_on_loop``.
+Handlers run in a pool of threads.  They call code of the process's event loop through
+``run_on_loop``.
 """
 
 import asyncio
@@ -31,18 +31,18 @@
 
 MAX_BODY_BYTES = 8 * 1024 * 1024
 MAX_HEADER_BYTES = 32 * 1024
-# A sender that needs longer for one request is told so; callers are programs, not people.
+# Time to receive a whole request; callers are programs, which send a request at once.
 REQUEST_TIMEOUT_MS = 5_000
-# Callers that poll come back within seconds; other connections are not worth keeping.
+# Callers that poll reuse a connection within seconds; one that is idle longer is closed.
 CONNECTION_IDLE_MS = 60_000
-# How long answers may take to be read before the process ends.
+# Time for peers to read the last responses before the process ends.
 STOP_WAIT_MS = 1_000
-STOP_POLL_MS = 10
+STOP_CHECK_INTERVAL_MS = 10
 
 
 @attrs.frozen
 class Request:
-    """An HTTP request as a handler gets it."""
+    """An HTTP request as it is passed to a handler."""
 
     method: str
     path: str
@@ -52,7 +52,7 @@
     token: str = attrs.field(repr=False)
 
     def json(self) -> Any:
-        """Return the body as JSON data; raises InvalidInputError with the place."""
+        """Return the body as JSON data; raises InvalidInputError with the place of an error."""
         try:
             return json.loads(self.body)
         except json.JSONDecodeError as error:
@@ -64,7 +64,7 @@
             raise InvalidInputError("the body is not JSON") from error
 
     def int_option(self, name: str, default: int, maximum: int) -> int:
-        """Return a whole number from the query; raises InvalidInputError."""
+        """Return an integer parameter of the query; raises InvalidInputError."""
         text = self.query.get(name, str(default))
         if not text.isdecimal() or len(text) > 12 or int(text) > maximum:
             finding = Finding(f"query {name}", f"expected a whole number up to {maximum}")
@@ -87,7 +87,7 @@
 
 
 class Router:
-    """Routes by method and path pattern, filled by a decorator.
+    """Finds a handler by method and path pattern; handlers are registered by a decorator.
 
     ::
 
@@ -112,7 +112,7 @@
         return register
 
     def find(self, method: str, path: str) -> tuple[Handler, dict[str, str]]:
-        """Return the handler and the path's parts; raises NotFoundError."""
+        """Return the handler and the matched parts of the path; raises NotFoundError."""
         for route_method, pattern, handler in self._routes:
             match = pattern.match(path)
             if match and route_method == method:
@@ -121,9 +121,9 @@
 
 
 class HttpServer:
-    """Serves a router: an event loop in a thread reads and writes, a pool of threads handles.
+    """Serves a router: an event loop in one thread does all I/O, handlers run in a thread pool.
 
-    So a slow sender holds up nobody but itself.
+    So a slow sender delays no other request.
     """
 
     def __init__(self, address: Address, router: Router, threads: int, tls: Tls | None = None):
@@ -140,13 +140,13 @@
         self._listener = HttpListener(self._handle, limits, self._timers)
 
     def start(self) -> int:
-        """Listen and serve; return the port. Raises OSError if the address is taken."""
+        """Listen and serve; return the port. Raises OSError if the address is in use."""
         self._thread.start()
         opening = self._listener.open(self._address.host, self._address.port, self._tls)
         return run_on_loop(self._loop, opening, None)
 
     def stop(self) -> None:
-        """Answer what has come, end all connections, and stop serving."""
+        """Answer the received requests, close all connections and stop serving."""
         run_on_loop(self._loop, self._close(), None)
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join()
@@ -155,9 +155,9 @@
     async def _close(self) -> None:
         self._listener.start_closing()
         self._listener.close_idle()
-        limit_ms = self._timers.now_ms() + STOP_WAIT_MS
-        while self._listener.connections and self._timers.now_ms() < limit_ms:
-            await asyncio.sleep(STOP_POLL_MS / MS_PER_S)
+        deadline_ms = self._timers.now_ms() + STOP_WAIT_MS
+        while self._listener.connections and self._timers.now_ms() < deadline_ms:
+            await asyncio.sleep(STOP_CHECK_INTERVAL_MS / MS_PER_S)
         self._listener.close()
         self._timers.stop()
 
@@ -172,8 +172,8 @@
             response = handler(_read_request(request, path, target.query, parts))
         except GapdrumError as error:
             response = error_response(error)
-        except Exception as error:  # a defect: report it as such, and go on serving
-            logger.exception("a handler failed")
+        except Exception as error:  # a bug in a handler must not stop the server
+            logger.exception("HTTP handler failed")
             response = error_response(GapdrumError(f"internal: {type(error).__name__}"))
         return _encode_response(response)
 
@@ -193,7 +193,7 @@
 
 
 def error_response(error: GapdrumError) -> Response:
-    """Return the response for an error: code, message, findings and what is known."""
+    """Return the response for an error: code, message, findings, run state and retry time."""
     document: dict[str, Any] = {"code": error.code, "message": error.message}
     if error.findings:
         document["findings"] = [attrs.asdict(finding) for finding in error.findings]
@@ -204,9 +204,11 @@
     return Response(document, error.http_status, retry_after_ms=error.retry_after_ms)
 
 
-def run_on_loop(loop: asyncio.AbstractEventLoop, steps: Coroutine, timeout_s: float | None) -> Any:
-    """Run a coroutine on the loop from a handler's thread and return its result."""
-    future = asyncio.run_coroutine_threadsafe(steps, loop)
+def run_on_loop(
+    loop: asyncio.AbstractEventLoop, coroutine: Coroutine, timeout_s: float | None
+) -> Any:
+    """Run a coroutine on the event loop from another thread and return its result."""
+    future = asyncio.run_coroutine_threadsafe(coroutine, loop)
     try:
         return future.result(timeout_s)
     except TimeoutError:
--- a/src/gapdrum/resources.py
+++ b/src/gapdrum/resources.py
@@ -1,4 +1,4 @@
-"""The HTTP resources of an entry for callers: jobs and the decisions on them."""
+"""The HTTP resources of an entry for callers: jobs and the decisions about them."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -11,17 +11,17 @@
 from gapdrum.models import MAX_DEADLINE_MS, Submission, job_id_for
 
 DEFAULT_WAIT_MS = 60_000
-POLL_AFTER_MS = 200
-SHORT_CALL_S = 10
-RESERVED_THREADS = 8
+CALLER_POLL_INTERVAL_MS = 200
+CALL_TIMEOUT_S = 10
+NONWAITING_THREADS = 8
 MS_PER_S = 1000
 
 
 class JobResources:
     """Handlers for submitting, fetching, cancelling and explaining jobs.
 
-    At most as many requests wait for answers as leave some threads free; the
-    others are told at once to poll.
+    ``NONWAITING_THREADS`` handler threads never wait for answers; if all other
+    threads are waiting, further callers are told at once to poll.
     """
 
     def __init__(
@@ -34,7 +34,7 @@
         self._loop = loop
         self._dispatcher = dispatcher
         self._credentials = credentials
-        self._waits = BoundedSemaphore(max(1, threads - RESERVED_THREADS))
+        self._waiting_slots = BoundedSemaphore(max(1, threads - NONWAITING_THREADS))
 
     def add_routes(self, router: Router) -> None:
         """Register the handlers."""
@@ -44,31 +44,31 @@
         router.route("GET", "/v1/jobs/{team}/{key}/decisions")(self.explain)
 
     def submit(self, request: Request) -> Response:
-        """Take a submission and answer it, or tell when to ask for the answer."""
+        """Submit a job and return its answer, or its progress and when to poll."""
         self._credentials.require(request.token, CALLER, OPERATOR)
         submission = structure(request.json(), Submission)
         self._credentials.require_team(request.token, submission.team)
         wait_ms = request.int_option("wait_ms", DEFAULT_WAIT_MS, MAX_DEADLINE_MS)
-        steps = self._dispatcher.submit(submission)
-        return self._wait(steps, submission.job_id, wait_ms)
+        coroutine = self._dispatcher.submit(submission)
+        return self._wait_for_answer(coroutine, submission.job_id, wait_ms)
 
     def fetch(self, request: Request) -> Response:
-        """Return the answer of a job, or its progress."""
+        """Return the answer to a job, or its progress if there is no answer yet."""
         team, key = request.parts["team"], request.parts["key"]
         self._credentials.require_team(request.token, team)
         wait_ms = request.int_option("wait_ms", 0, MAX_DEADLINE_MS)
         job_id = job_id_for(team, key)
-        return self._wait(self._dispatcher.fetch(job_id, team), job_id, wait_ms)
+        return self._wait_for_answer(self._dispatcher.fetch(job_id, team), job_id, wait_ms)
 
     def cancel(self, request: Request) -> Response:
-        """Cancel a job; its answer tells what had started."""
+        """Cancel a job; its answer lists the tasks that had started."""
         team, key = request.parts["team"], request.parts["key"]
         self._credentials.require_team(request.token, team)
         self._call(self._dispatcher.cancel(job_id_for(team, key)))
         return Response({"cancelling": True}, 202)
 
     def explain(self, request: Request) -> Response:
-        """Return the decisions on a job, or on one of its tasks."""
+        """Return the decisions about a job, or about one of its tasks."""
         team, key = request.parts["team"], request.parts["key"]
         self._credentials.require_team(request.token, team)
         decisions = self._call(self._dispatcher.explain(job_id_for(team, key)))
@@ -77,30 +77,30 @@
             decisions = [row for row in decisions if str(row.task) in (task, "-1")]
         return Response({"decisions": [unstructure(row) for row in decisions]})
 
-    def _wait(self, steps: Coroutine, job_id: str, wait_ms: int) -> Response:
-        """Wait for an answer in a thread that may wait; else hand out the progress."""
-        if not self._waits.acquire(blocking=False):
+    def _wait_for_answer(self, coroutine: Coroutine, job_id: str, wait_ms: int) -> Response:
+        """Wait for an answer if a waiting slot is free; return the progress if none comes."""
+        if not self._waiting_slots.acquire(blocking=False):
             wait_ms = 0
-            held = False
+            acquired = False
         else:
-            held = True
-        future = asyncio.run_coroutine_threadsafe(steps, self._loop)
+            acquired = True
+        future = asyncio.run_coroutine_threadsafe(coroutine, self._loop)
         try:
             answer = future.result(max(wait_ms, 1) / MS_PER_S)
         except TimeoutError:
             return self._describe_progress(job_id)
         finally:
-            if held:
-                self._waits.release()
+            if acquired:
+                self._waiting_slots.release()
         return Response(unstructure(answer))
 
     def _describe_progress(self, job_id: str) -> Response:
-        progress = self._call(self._ask_progress(job_id))
+        progress = self._call(self._get_progress(job_id))
         document = unstructure(progress) if progress else {"job_id": job_id, "state": "claiming"}
-        return Response(document, 202, retry_after_ms=POLL_AFTER_MS)
+        return Response(document, 202, retry_after_ms=CALLER_POLL_INTERVAL_MS)
 
-    async def _ask_progress(self, job_id: str):
+    async def _get_progress(self, job_id: str):
         return self._dispatcher.progress(job_id)
 
-    def _call(self, steps: Coroutine):
-        return run_on_loop(self._loop, steps, SHORT_CALL_S)
+    def _call(self, coroutine: Coroutine):
+        return run_on_loop(self._loop, coroutine, CALL_TIMEOUT_S)
--- a/src/gapdrum/settings.py
+++ b/src/gapdrum/settings.py
@@ -1,7 +1,7 @@
-"""The operators' settings: one flat set of values, held in a tree whose nodes inherit.
+"""The operators' settings: a tree of nodes, each of which inherits values from its parent.
 
-A node is named by a path such as ``""`` (the root), ``team/inspect`` or
-``upstream/deskbook``.  A node holds only what it overrides.
+A node is identified by a path such as ``""`` (the root), ``team/inspect`` or
+``upstream/deskbook``.  A node holds only the values that it overrides.
 """
 
 import json
@@ -21,7 +21,7 @@
 class Settings:
     """The effective values at one node.
 
-    Units are part of the names; 0 means no limit where a field is a limit of a team.
+    Field names end with the unit; for the limits of a team, 0 means no limit.
     """
 
     placement: str = text_field(default="two_choices")
@@ -54,20 +54,20 @@
 
 @attrs.frozen
 class SettingsTree:
-    """All overrides by node path, with the version of this state of the tree."""
+    """All overrides by node path, and the version of the tree."""
 
     version: int = 0
     nodes: dict[str, dict[str, int | str]] = attrs.Factory(dict)
 
     def effective(self, path: str) -> Settings:
-        """Return the values in force at a node, inherited from its ancestors."""
+        """Return the effective values at a node, with those inherited from its ancestors."""
         values: dict[str, int | str] = {}
         for ancestor in list_ancestors(path):
             values.update(self.nodes.get(ancestor, {}))
         return Settings(**values)
 
     def origin(self, path: str, name: str) -> str | None:
-        """Return the path of the node a value comes from, None for the built-in default."""
+        """Return the path of the node that sets a value, or None for the built-in default."""
         for ancestor in reversed(list_ancestors(path)):
             if name in self.nodes.get(ancestor, {}):
                 return ancestor
@@ -81,7 +81,7 @@
 
 
 def check_tree(nodes: object, source: str = "$") -> dict[str, dict[str, int | str]]:
-    """Return the nodes if every value is valid; raises InvalidInputError with all findings."""
+    """Return the nodes if all values are valid; raises InvalidInputError with all findings."""
     if not isinstance(nodes, dict):
         raise InvalidInputError("findings", findings=(Finding(source, "expected an object"),))
     findings: list[Finding] = []
@@ -130,12 +130,12 @@
 
 
 def dump_tree(tree: SettingsTree) -> str:
-    """Return the tree's nodes as JSON text, stable in order."""
+    """Return the nodes of the tree as JSON text with sorted keys."""
     return json.dumps(tree.nodes, sort_keys=True)
 
 
 def load_tree(version: int, document: str) -> SettingsTree:
-    """Return the tree from JSON text; raises InvalidInputError if it is not valid."""
+    """Return the tree that JSON text describes; raises InvalidInputError if it is not valid."""
     try:
         nodes = json.loads(document)
     except ValueError as error:
@@ -144,7 +144,7 @@
 
 
 class SettingsHolder:
-    """The tree in force in this process; its version never goes back."""
+    """The settings tree in force in this process; its version never decreases."""
 
     def __init__(self) -> None:
         self.tree = SettingsTree()
@@ -152,7 +152,7 @@
         self._callbacks: list[Callable[[], None]] = []
 
     def subscribe(self, callback: Callable[[], None]) -> None:
-        """Call back whenever a newer tree has come into force."""
+        """Register a function to call after each newer tree has come into force."""
         self._callbacks.append(callback)
 
     @property
@@ -161,7 +161,7 @@
         return self.tree.version
 
     def apply_if_newer(self, tree: SettingsTree) -> bool:
-        """Take a tree if it is newer; return whether it was taken."""
+        """Bring a tree into force if it is newer; return whether that happened."""
         if tree.version <= self.tree.version:
             return False
         self.tree = tree
@@ -171,7 +171,7 @@
         return True
 
     def at(self, path: str) -> Settings:
-        """Return the effective values at a node, remembered until the tree changes."""
+        """Return the effective values at a node, cached until the tree changes."""
         found = self._cache.get(path)
         if found is None:
             found = self.tree.effective(path)
@@ -192,9 +192,9 @@
         return self.at(f"upstream{SEPARATOR}{upstream}")
 
     def is_zone_drained(self, zone: str) -> bool:
-        """Tell whether nothing more may be started in an availability zone."""
+        """Return whether an availability zone is drained, so that nothing new starts there."""
         return self.at(f"zone{SEPARATOR}{zone}").zone_mode == DRAINED
 
     def for_runner(self, agent_id: str) -> Settings:
-        """Return the values in force for one runner, named by its agent."""
+        """Return the values in force for the runner of an agent."""
         return self.at(f"runner{SEPARATOR}{agent_id}")
