--- a/src/gapdrum/__init__.py
+++ b/src/gapdrum/__init__.py
@@ -1,8 +1,8 @@
 """gapdrum: a dispatcher for sub-second tasks.
 
 Callers submit jobs, which are parallel batches of short tasks, to an entry
-process; agents beside the runners start the tasks.  ``gapdrum.api`` holds the
-calls most programs need.
+process; agents beside the runners start the tasks.  ``gapdrum.api`` has the
+functions that most programs need.
 """
 
 from gapdrum.__version__ import __version__
--- a/src/gapdrum/cli.py
+++ b/src/gapdrum/cli.py
@@ -1,7 +1,7 @@
 """The operators' command line: settings, explanations, runners, jobs and teams.
 
-Exit codes: 0 done, 1 refused or failed, 2 wrong usage or findings in the
-input, 3 a conflict with another operator, 4 the entry can't be reached.
+Exit codes: 0 done, 1 refused or failed, 2 wrong usage or invalid input,
+3 conflict with another operator's change, 4 entry unreachable.
 """
 
 import json
@@ -24,8 +24,8 @@
 EXIT_FINDINGS = 2
 EXIT_CONFLICT = 3
 EXIT_UNREACHABLE = 4
-WAIT_STEP_MS = 2_000
-MAX_WAIT_STEPS = 30
+WAIT_PER_CALL_MS = 2_000
+MAX_WAIT_CALLS = 30
 EXIT_CODES = {
     "invalid_input": EXIT_FINDINGS,
     "version_conflict": EXIT_CONFLICT,
@@ -62,7 +62,7 @@
 
 
 def show(rows: list[dict[str, Any]], as_json: bool) -> None:
-    """Print rows as a table for people or as JSON for programs."""
+    """Print rows as a table, or as JSON for programs."""
     if as_json:
         typer.echo(json.dumps(rows))
         return
@@ -79,25 +79,25 @@
 
 @app.command()
 def status(token: Token, url: Url = DEFAULT_URL, as_json: AsJson = False) -> None:
-    """Show the state of one entry."""
+    """Show the state of an entry."""
     show([call(url, token, "GET", "/v1/status")], as_json)
 
 
 @app.command()
 def runners(token: Token, url: Url = DEFAULT_URL, as_json: AsJson = False) -> None:
-    """List the runners with their load and state."""
+    """List the runners known to an entry, with load and state."""
     show(call(url, token, "GET", "/v1/runners")["runners"], as_json)
 
 
 @app.command()
 def jobs(token: Token, url: Url = DEFAULT_URL, as_json: AsJson = False) -> None:
-    """List the jobs that the entry has not answered yet."""
+    """List the jobs that an entry has not answered yet."""
     show(call(url, token, "GET", "/v1/open-jobs")["jobs"], as_json)
 
 
 @app.command()
 def teams(token: Token, url: Url = DEFAULT_URL, as_json: AsJson = False) -> None:
-    """List the running tasks by team."""
+    """List the number of running tasks of each team."""
     show(call(url, token, "GET", "/v1/teams")["teams"], as_json)
 
 
@@ -110,20 +110,20 @@
     url: Url = DEFAULT_URL,
     as_json: AsJson = False,
 ) -> None:
-    """Show every decision on a job: what, why, when, on which figures."""
+    """Show all decisions about a job, with time, reason and figures."""
     path = f"/v1/jobs/{team}/{key}/decisions"
     if task is not None:
         path += f"?task={task}"
     decisions = call(url, token, "GET", path)["decisions"]
     if not decisions and not as_json:
-        typer.echo("no record of this job is to be had")
+        typer.echo("no record of this job was found")
         raise typer.Exit(EXIT_FAILED)
     show(decisions, as_json)
 
 
 @app.command()
 def cancel(team: Team, key: Key, token: Token, url: Url = DEFAULT_URL) -> None:
-    """Cancel a job; what has not started will not."""
+    """Cancel a job; tasks that have not started will not run."""
     call(url, token, "POST", f"/v1/jobs/{team}/{key}/cancel")
     typer.echo("cancelling")
 
@@ -136,7 +136,7 @@
     undo: Annotated[bool, typer.Option("--undo", help="Give it work again.")] = False,
     reason: Reason = "",
 ) -> None:
-    """Give a runner no new work; it is a setting, so it is in force at every entry."""
+    """Stop giving a runner new work; this is a setting, so it holds at every entry."""
     value = None if undo else DRAINED
     _change(url, token, [(f"runner/{agent}", "runner_mode", value)], reason, False)
 
@@ -149,7 +149,7 @@
     undo: Annotated[bool, typer.Option("--undo", help="Restore it: give it work again.")] = False,
     reason: Reason = "",
 ) -> None:
-    """Start nothing more in an availability zone; what runs there ends by itself."""
+    """Start no more tasks in an availability zone; running tasks there may finish."""
     value = None if undo else DRAINED
     _change(url, token, [(f"zone/{zone}", "zone_mode", value)], reason, False)
 
@@ -161,7 +161,7 @@
     url: Url = DEFAULT_URL,
     as_json: AsJson = False,
 ) -> None:
-    """Show the values in force at a node and where each comes from."""
+    """Show the values in force at a node, and the node that sets each."""
     show(call(url, token, "GET", f"/v1/config/effective/{path}")["values"], as_json)
 
 
@@ -188,7 +188,7 @@
     url: Url = DEFAULT_URL,
     reason: Reason = "",
 ) -> None:
-    """Let a node inherit a value again."""
+    """Remove a value from a node, so that it is inherited again."""
     _change(url, token, [(path.strip("/"), name, None)], reason, False)
 
 
@@ -199,7 +199,7 @@
     url: Url = DEFAULT_URL,
     as_json: AsJson = False,
 ) -> None:
-    """Show what applying a file would change."""
+    """Show the changes that applying a file would make."""
     tree = call(url, token, "GET", "/v1/config")
     changes = _list_differences(tree["nodes"], _read_nodes(file))
     show([{"path": p, "name": n, "value": v} for p, n, v in changes], as_json)
@@ -213,7 +213,7 @@
     reason: Reason = "",
     dry_run: DryRun = False,
 ) -> None:
-    """Make the whole tree as it is in a file, in one change."""
+    """Replace the whole settings tree by that of a file, in one change."""
     tree = call(url, token, "GET", "/v1/config")
     changes = _list_differences(tree["nodes"], _read_nodes(file))
     if not changes:
@@ -224,7 +224,7 @@
 
 @config_app.command("history")
 def config_history(token: Token, url: Url = DEFAULT_URL, as_json: AsJson = False) -> None:
-    """Show the audit trail: who changed what, when and why."""
+    """Show the audit trail: all changes with operator, time and reason."""
     show(call(url, token, "GET", "/v1/config/history")["changes"], as_json)
 
 
@@ -235,8 +235,8 @@
     url: Url = DEFAULT_URL,
 ) -> None:
     """Wait until a version is in force at every entry and agent."""
-    for _ in range(MAX_WAIT_STEPS):
-        path = f"/v1/config/status?version={version}&wait_ms={WAIT_STEP_MS}"
+    for _ in range(MAX_WAIT_CALLS):
+        path = f"/v1/config/status?version={version}&wait_ms={WAIT_PER_CALL_MS}"
         answer = call(url, token, "GET", path)
         if answer["in_force"]:
             typer.echo(f"version {version} is in force everywhere")
@@ -254,7 +254,7 @@
     dry_run: bool,
     base_version: int | None = None,
 ) -> None:
-    """Send one change on top of the version seen last, and print what came of it."""
+    """Send one change, based on the current version by default, and print the outcome."""
     if base_version is None:
         base_version = call(url, token, "GET", "/v1/config")["version"]
     document = {
@@ -271,7 +271,7 @@
 def _read_nodes(file: Path) -> dict[str, dict[str, Any]]:
     try:
         return json5.loads(file.read_text())
-    except Exception as error:  # the library raises several kinds for broken input
+    except Exception as error:  # json5 raises several exception types for invalid input
         typer.echo(f"{file}: not JSON with comments: {error}", err=True)
         raise typer.Exit(EXIT_FINDINGS) from error
 
@@ -279,7 +279,7 @@
 def _list_differences(
     before: dict[str, dict[str, Any]], after: dict[str, dict[str, Any]]
 ) -> list[tuple[str, str, int | str | None]]:
-    """Return the values to set or remove to come from one tree to another."""
+    """Return the values to set or remove that turn one tree into another."""
     changes = []
     for path in sorted({*before, *after}):
         old, new = before.get(path, {}), after.get(path, {})
@@ -302,7 +302,7 @@
     request: Annotated[str, typer.Argument(help="The request's identity.")],
     files: Annotated[list[Path], typer.Argument(help="Logs of entries and agents.")],
 ) -> None:
-    """Show what all processes did with a request, in order, and what it comes to."""
+    """Show what all processes did with a request, in order of time, and a summary."""
     timeline = build_timeline(request, read_lines(files))
     for line in timeline.lines:
         typer.echo(line.render(timeline.begin_ms))
@@ -317,9 +317,9 @@
     files: Annotated[list[Path], typer.Argument(help="Logs of entries and agents.")],
     as_json: AsJson = False,
 ) -> None:
-    """Show what jobs were lost or late, when, and for what reason, most frequent first.
+    """Show which jobs were lost or late, when and for which reason, most frequent first.
 
-    Seconds count from the first line; jobs are late by the work as it was.
+    Seconds count from the first line; a job is late relative to its actual work.
     """
     found = summarize_losses(read_lines(files))
     if as_json:
--- a/src/gapdrum/plots.py
+++ b/src/gapdrum/plots.py
@@ -1,4 +1,4 @@
-"""Plots of a replay's report, as PNG by matplotlib."""
+"""Plots a replay's report as a PNG image."""
 
 from pathlib import Path
 
@@ -16,7 +16,7 @@
 
 
 def plot_report(report: Report, path: Path) -> None:
-    """Write a plot of response over ideal by time of submission, one colour an outcome."""
+    """Plot response over ideal time by time of submission, with one colour per outcome."""
     figure, axes = plt.subplots(figsize=SIZE_INCHES)
     for outcome in OUTCOMES:
         samples = [sample for sample in report.samples if sample.outcome == outcome]
@@ -27,8 +27,8 @@
     axes.set_yscale("log")
     axes.set_xlabel("submitted after, s")
     axes.set_ylabel("response over ideal")
-    median, worst = report.response_over_ideal_p50, report.response_over_ideal_p99
-    axes.set_title(f"{report.jobs} jobs, p50 {median}, p99 {worst}")
+    median, tail = report.response_over_ideal_p50, report.response_over_ideal_p99
+    axes.set_title(f"{report.jobs} jobs, p50 {median}, p99 {tail}")
     axes.legend()
     figure.savefig(path)
     plt.close(figure)
--- a/src/gapdrum/replays.py
+++ b/src/gapdrum/replays.py
@@ -1,4 +1,4 @@
-"""Replays a trace against entries, checks the stated outcome and writes a report."""
+"""Replays a trace against entries, checks the stated outcome and reports the figures."""
 
 import json
 import threading
@@ -24,12 +24,12 @@
 CALIBRATION_RUN_MS = 50
 PROGRESS_INTERVAL_S = 5
 MS_PER_S = 1000
-PATIENCE_MS = 120_000
+TIMEOUT_MS = 120_000
 
 
 @attrs.frozen
 class Sample:
-    """How one job of a trace went."""
+    """The outcome and times of one job of a trace."""
 
     key: str
     at_ms: int
@@ -41,16 +41,16 @@
 
     @property
     def ratio(self) -> float:
-        """Return response over ideal."""
+        """Return the response time divided by the ideal time."""
         return self.response_ms / self.ideal_ms
 
 
 @attrs.frozen
 class Report:
-    """The counts of a replay; ratios are over the answered jobs.
+    """The counts of a replay; the ratios are those of the answered jobs.
 
-    The ideal time of a job is the longest run time of its tasks plus the
-    median overhead of single jobs on the idle system before the replay.
+    The ideal time of a job is the longest run time of its tasks plus the least
+    overhead of single jobs on the idle system before the replay.
     """
 
     jobs: int
@@ -72,21 +72,21 @@
     token: str,
     speed: float = 1.0,
     progress: Callable[[str], None] = print,
-    patience_ms: int = PATIENCE_MS,
+    timeout_ms: int = TIMEOUT_MS,
 ) -> Report:
-    """Replay a trace and return what came of it; every thread has a bounded patience."""
+    """Replay a trace and return the report; each submission has a timeout."""
     prefix = uuid.uuid4().hex[:8] + "-"
     samples: list[Sample] = []
     lock = threading.Lock()
     with Session(urls, token) as session:
         overhead_ms = calibrate(session, trace, prefix)
-        progress(f"idle overhead {overhead_ms:.1f} ms")
+        progress(f"overhead on the idle system: {overhead_ms:.1f} ms")
         with ThreadPoolExecutor(MAX_THREADS) as threads:
             started_s = time.monotonic()
             reported_s = started_s
 
             def run(job: TracedJob) -> None:
-                sample = run_job(session, job, prefix, overhead_ms, patience_ms)
+                sample = run_job(session, job, prefix, overhead_ms, timeout_ms)
                 with lock:
                     samples.append(sample)
 
@@ -102,7 +102,7 @@
 
 
 def calibrate(session: Session, trace: Trace, prefix: str) -> float:
-    """Return the least overhead of single jobs on the idle system: none is faster than ideal."""
+    """Return the least overhead of single jobs on the idle system, as part of the ideal time."""
     first = trace.jobs[0]
     overheads = []
     for number in range(CALIBRATION_JOBS):
@@ -121,13 +121,13 @@
 
 
 def run_job(
-    session: Session, job: TracedJob, prefix: str, overhead_ms: float, patience_ms: int
+    session: Session, job: TracedJob, prefix: str, overhead_ms: float, timeout_ms: int
 ) -> Sample:
-    """Submit one job and measure it."""
+    """Submit one job and measure its response time."""
     started_s = time.monotonic()
     starts_max = 0
     try:
-        answer = session.submit(job.to_submission(prefix), patience_ms)
+        answer = session.submit(job.to_submission(prefix), timeout_ms)
         outcome, code = answer.outcome, _describe_reasons(answer)
         starts_max = _count_starts(answer)
     except RefusedError as error:
@@ -140,7 +140,7 @@
 
 
 def summarize(samples: list[Sample], overhead_ms: float) -> Report:
-    """Return the counts over all samples."""
+    """Return the report on all samples."""
     answered = [sample for sample in samples if sample.outcome in ("complete", "failed")]
     ratios = sorted(sample.ratio for sample in answered) or [0.0]
     return Report(
@@ -165,7 +165,7 @@
 
 
 def list_deviations(trace: Trace, report: Report) -> list[str]:
-    """Return where a replay differs from the stated outcome; empty if it holds."""
+    """Return the differences between a replay and the stated outcome; empty if there are none."""
     stated = trace.outcome
     failures = Counter(s.code for s in report.samples if s.outcome != "complete")
     deviations = [f"{count} jobs: {code}" for code, count in failures.items()]
@@ -181,7 +181,7 @@
 
 
 def _describe_reasons(answer: Answer) -> str:
-    """Return why the tasks that are not done are not, such as ``unknown agent_gone``."""
+    """Return the fates and reasons of the tasks that are not done, as ``unknown agent_gone``."""
     reasons = {
         f"{task.fate} {task.reason} {task.result}" for task in answer.tasks if task.fate != "done"
     }
@@ -209,7 +209,7 @@
         Path | None, typer.Option("--plot", help="Write a plot as PNG here.")
     ] = None,
 ) -> None:
-    """Replay a trace and exit with 1 if its stated outcome did not hold."""
+    """Replay a trace; exit with 1 if its stated outcome was not reached."""
     trace = load_trace(trace_path)
     report = replay(trace, url, token, speed, typer.echo)
     if report_path is not None:
--- a/src/gapdrum/traces.py
+++ b/src/gapdrum/traces.py
@@ -1,7 +1,7 @@
-"""Recorded traces: what was submitted when, and the outcome that a replay must reach.
+"""Recorded traces: submissions with their times, and the outcome that a replay must reach.
 
-A trace is a text file with one JSON document a line: first the stated
-outcome, then the submissions in the order of their times.
+A trace is a text file with one JSON document per line: first the stated
+outcome, then the submissions in order of time.
 """
 
 import json
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class StatedOutcome:
-    """The counts that a replay must reach exactly, and the bounds it must keep."""
+    """The counts that a replay must reach exactly, and the limits it must not exceed."""
 
     jobs: int = count_field()
     complete: int = count_field()
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class TracedJob:
-    """One submission of a trace; ``copies`` above 1 sends the same key again at once."""
+    """One submission of a trace; it is sent ``copies`` times at once, with the same key."""
 
     at_ms: int = count_field()
     key: str = text_field()
@@ -44,12 +44,12 @@
 
     @property
     def ideal_ms(self) -> int:
-        """Return the longest run time of its tasks: what the job takes with nothing in its way."""
+        """Return the longest run time of the tasks: the response time without any waiting."""
         return max(self.run_ms)
 
     def to_submission(self, prefix: str) -> Submission:
-        """Return the submission, its key made unique to one replay by a prefix."""
-        tasks = [TaskSpec(_payload(run_ms, self.fail)) for run_ms in self.run_ms]
+        """Return the submission, with a prefix that makes its key unique to one replay."""
+        tasks = [TaskSpec(_build_payload(run_ms, self.fail)) for run_ms in self.run_ms]
         return Submission(
             key=f"{prefix}{self.key}",
             team=self.team,
@@ -63,19 +63,19 @@
 
 @attrs.frozen
 class Trace:
-    """A stated outcome and the submissions that lead to it."""
+    """A stated outcome, and the submissions whose replay must reach it."""
 
     outcome: StatedOutcome
     jobs: list[TracedJob]
 
     @property
     def calls(self) -> int:
-        """Return how often jobs are submitted, copies of the same key counted."""
+        """Return the number of submissions, including copies of the same key."""
         return sum(job.copies for job in self.jobs)
 
 
 def load_trace(path: Path) -> Trace:
-    """Return the trace in a file; raises InvalidInputError with the line at fault."""
+    """Return the trace in a file; raises InvalidInputError with the invalid line."""
     lines = path.read_text().splitlines()
     if not lines:
         raise InvalidInputError("the trace is empty")
@@ -88,7 +88,7 @@
 
 
 def dump_trace(trace: Trace) -> str:
-    """Return a trace as the text of its file."""
+    """Return the text of the file for a trace."""
     documents = [unstructure(trace.outcome), *(unstructure(job) for job in trace.jobs)]
     return "".join(json.dumps(document) + "\n" for document in documents)
 
@@ -100,6 +100,6 @@
         raise InvalidInputError(f"{place}: {error.msg}") from error
 
 
-def _payload(run_ms: int, fail: bool) -> str:
+def _build_payload(run_ms: int, fail: bool) -> str:
     document = {"run_ms": run_ms, "fail": True} if fail else {"run_ms": run_ms}
     return json.dumps(document)
