--- a/features/access.feature
+++ b/features/access.feature
@@ -1,6 +1,6 @@
-Feature: Callers and operators do only what their tokens cover
+Feature: Tokens limit what callers and operators may do
 
-  Scenario: Teams, subtrees and roles
+  Scenario: Tokens are limited by team, subtree and role
     Given a system of 1 entries and 1 runners
     Then these calls with these tokens get these statuses:
       | token          | call                         | status |
--- a/features/command_line.feature
+++ b/features/command_line.feature
@@ -1,6 +1,6 @@
-Feature: Operators and callers by the book
+Feature: The command line and the documented examples
 
-  Scenario: The command line changes settings, waits, explains and exits with codes
+  Scenario: Each command prints its result and exits with its documented code
     Given a system of 2 entries and 2 runners
     Then these commands print and exit with:
       | command                                           | prints                            | code |
@@ -22,12 +22,12 @@
       | jobs                                              | none                              | 0    |
       | status --url http://127.0.0.1:1                   | entry_unreachable                 | 4    |
 
-  Scenario: The example of the API page works as it stands
+  Scenario: The first example of the API page works unchanged
     Given a system of 1 entries and 1 runners
     When the first example of the API page is submitted
     Then the answer is complete
 
-  Scenario: A settings file with faults is refused with every finding and its line
-    Given an entry's file with 3 faults
-    When the entry is started with it
+  Scenario: An invalid settings file is refused with the line of every finding
+    Given an entry's settings file with 3 faults
+    When the entry is started with that file
     Then it exits with 2 and names the lines "3, 4, 6"
--- a/features/settings.feature
+++ b/features/settings.feature
@@ -1,4 +1,4 @@
-Feature: Settings are accepted once, in force everywhere, and never revert
+Feature: Each settings change is accepted once, comes into force everywhere and never reverts
 
   Background:
     Given a system of 2 entries and 2 runners
@@ -7,11 +7,11 @@
     When "team_weight" of "team/schools" is set to 3 at entry 0
     Then version 1 is in force everywhere within 8000 ms
     And entry 1 has 3 for "team_weight" of "team/schools" from "team/schools"
-    And entry 1 has 1 for "team_weight" of "team/hotels" from nowhere
+    And entry 1 has 1 for "team_weight" of "team/hotels" by default
 
-  Scenario: Operators race, and the loser is told
+  Scenario: Two operators change the same version, and one gets a conflict
     When two operators change "team_weight" of "team/schools" on the same version
-    Then one of them is told "version_conflict"
+    Then one of them gets the code "version_conflict"
     And the audit trail has 1 change
 
   Scenario: The answer to a change is lost after its effect
@@ -26,7 +26,7 @@
     And there are 3 findings
     And the audit trail has 0 changes
 
-  Scenario: A replaced entry comes back with the store down and does not revert
+  Scenario: An entry that restarts while the store is down gets the newest settings from agents
     When "team_weight" of "team/schools" is set to 3 at entry 0
     Then version 1 is in force everywhere within 8000 ms
     Given the store has an outage for ""
@@ -47,20 +47,20 @@
     When the settings are changed with the token "caller-token"
     Then the call fails with status 403 and code "forbidden"
 
-  Scenario: Nothing starts in a drained availability zone, and what waits there goes elsewhere
+  Scenario: No task starts in a drained availability zone, and waiting tasks are placed elsewhere
     When an operator drains the zone of agent 1 by the command line
     Then version 1 is in force everywhere within 8000 ms
     When a job "zone-1" of 12 tasks is submitted
-    Then its answer is whole, and no task of it was started at agent 1
-    And explaining "zone-1" tells that a zone was drained
+    Then its answer is complete, and no task of it was started at agent 1
+    And the placements of "zone-1" are explained with a drained zone
     And the audit trail has 1 change
     When the operator restores that zone
     Then version 2 is in force everywhere within 8000 ms
     When a job "zone-2" of 40 tasks is submitted
     Then tasks of it were started at agent 1
 
-  Scenario: A task waits for a drained zone, and explain says so
+  Scenario: Tasks wait while a zone is drained, and explain shows it
     When an operator drains the zone of agent 1 by the command line
     Then version 1 is in force everywhere within 8000 ms
-    When a job "zone-3" is submitted whose tasks fill the other runner twice
-    Then explaining "zone-3" tells that tasks waited while a zone was drained
+    When a job "zone-3" is submitted with twice as many tasks as the other runner has slots
+    Then the explanation of "zone-3" has tasks that waited while a zone was drained
--- a/features/steps/access_steps.py
+++ b/features/steps/access_steps.py
@@ -1,4 +1,4 @@
-"""Steps about tokens and what they cover."""
+"""Steps for what tokens permit."""
 
 from behave import then
 from whole_path_steps import job_document
--- a/features/steps/command_steps.py
+++ b/features/steps/command_steps.py
@@ -1,4 +1,4 @@
-"""Steps that use the programs as an operator would."""
+"""Steps that run the programs as an operator would."""
 
 import json
 import os
@@ -14,7 +14,7 @@
 
 API_PAGE = Path(__file__).parent.parent.parent / "docs" / "API.md"
 TIMEOUT_S = 90
-FAULTY = """{
+INVALID_SETTINGS = """{
   // three faults, each on its own line
   "entry_id": 7,
   "zone": "plaine-nord", "http": {"host": "127.0.0.1", "port": 70000},
@@ -51,16 +51,16 @@
     submit(context, json.loads(example))
 
 
-@given("an entry's file with 3 faults")
-def write_faulty(context):
+@given("an entry's settings file with 3 faults")
+def write_invalid_settings(context):
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
     context.path = Path(folder.name) / "entry.json"
-    context.path.write_text(FAULTY)
+    context.path.write_text(INVALID_SETTINGS)
 
 
-@when("the entry is started with it")
-def start_faulty(context):
+@when("the entry is started with that file")
+def start_with_file(context):
     context.done = run("gapdrum-entry", ["--settings", str(context.path)])
 
 
--- a/features/steps/runner_steps.py
+++ b/features/steps/runner_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the agent's calls to a runner, against small fakes on a socket."""
+"""Steps for the agent's calls to a runner, which is a small fake server on a socket."""
 
 import socket
 import threading
@@ -13,7 +13,7 @@
 
 
 def read_request(connection):
-    """Read one request with an empty payload of two bytes."""
+    """Read one request whose payload is ``{}``; return False if the connection closes first."""
     data = b""
     while not data.endswith(b"{}"):
         chunk = connection.recv(4096)
--- a/features/steps/settings_steps.py
+++ b/features/steps/settings_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the settings tree, its versions and its audit trail."""
+"""Steps for the settings tree, its versions and its audit trail."""
 
 import json
 import time
@@ -11,8 +11,8 @@
 
 from gapdrum.store import ANY_VERSION, StoreClient, TableWrite
 
-OBSERVED_POLLS = 3
-FORGET_S = 4
+POLLS_TO_AWAIT = 3
+EVICTION_S = 4
 
 
 def change(context, values, base_version=None, entry=0, token=OPERATOR_TOKEN):
@@ -36,13 +36,13 @@
     check_in_force(context, 1, 8_000)
 
 
-@when("the owner has had time to forget it")
-def let_forget(_context):
-    time.sleep(FORGET_S)
+@when("the owner has had time to evict its answer")
+def wait_for_eviction(_context):
+    time.sleep(EVICTION_S)
 
 
 @when('two operators change "{name}" of "{path}" on the same version')
-def race(context, name, path):
+def change_concurrently(context, name, path):
     with ThreadPoolExecutor(2) as threads:
         calls = [
             threads.submit(change, context, [(path, name, 2 + entry)], 0, entry)
@@ -70,8 +70,8 @@
 
 
 @when("the store answers with the settings of version {version:d}")
-def make_stale(context, version):
-    """Roll the tree's row back, as a replica that lags would show it."""
+def restore_old_row(context, version):
+    """Set the tree's row back to an earlier version, as a lagging replica would return it."""
     client = StoreClient(context.system.url(context.system.platform, ""))
     row = client.read(["config/tree"])["config/tree"]
     old = {**row.value, "nodes": {"team/schools": {"team_weight": 3}}}
@@ -79,10 +79,10 @@
     for _ in range(version):
         client.transact([TableWrite("config/tree", ANY_VERSION, old)])
     reads = context.system.get(context.system.platform, "/stats")["reads"]
-    polls = OBSERVED_POLLS * 10 * len(context.system.entries)
+    polls = POLLS_TO_AWAIT * 10 * len(context.system.entries)
     context.system.wait_for(
         lambda: context.system.get(context.system.platform, "/stats")["reads"] > reads + polls,
-        "the entries have read the stale row",
+        "the entries to have read the stale row",
     )
 
 
@@ -99,14 +99,14 @@
     assert (found["value"], found["origin"]) == (value, origin), found
 
 
-@then('entry {entry:d} has {value:d} for "{name}" of "{path}" from nowhere')
+@then('entry {entry:d} has {value:d} for "{name}" of "{path}" by default')
 def check_default(context, entry, value, name, path):
     found = find_value(context, entry, name, path)
     assert (found["value"], found["origin"]) == (value, None), found
 
 
-@then('one of them is told "{code}"')
-def check_loser(context, code):
+@then('one of them gets the code "{code}"')
+def check_conflict(context, code):
     statuses = sorted(status for status, _document in context.answers)
     codes = [document.get("code") for _status, document in context.answers]
     assert statuses == [200, 409] and code in codes, context.answers
@@ -136,7 +136,7 @@
     return next(value for value in document["values"] if value["name"] == name)
 
 
-# Availability zones that are drained. Agent 1 is the only one in its zone.
+# Drained availability zones. Agent 1 is the only one in its zone.
 
 DRAINED_ZONE = "moka-hall"
 
@@ -163,20 +163,20 @@
     submit(context, job_document(key, tasks, 30))
 
 
-@when('a job "{key}" is submitted whose tasks fill the other runner twice')
-def submit_twice_too_many(context, key):
+@when('a job "{key}" is submitted with twice as many tasks as the other runner has slots')
+def submit_twice_the_slots(context, key):
     submit(context, job_document(key, 16, 150))
 
 
-@then("its answer is whole, and no task of it was started at agent {number:d}")
-def answered_elsewhere(context, number):
+@then("its answer is complete, and no task of it was started at agent {number:d}")
+def check_not_started_at(context, number):
     assert context.status == 200 and context.document["outcome"] == "complete", context.document
     agents = {step["subject"] for step in decisions_on(context, "zone-1", "placed")}
     assert agents == {f"agent-{1 - number}"}, agents
 
 
 @then("tasks of it were started at agent {number:d}")
-def started_there(context, number):
+def check_started_at(context, number):
     agents = {step["subject"] for step in decisions_on(context, "zone-2", "placed")}
     assert f"agent-{number}" in agents, agents
 
@@ -187,13 +187,13 @@
     return [step for step in document["decisions"] if step["code"] == code]
 
 
-@then('explaining "{key}" tells that a zone was drained')
-def explained_elsewhere(context, key):
+@then('the placements of "{key}" are explained with a drained zone')
+def check_placements_explained(context, key):
     for step in decisions_on(context, key, "placed"):
         assert {"name": "drained_zones", "value": 1} in step["figures"], step
 
 
-@then('explaining "{key}" tells that tasks waited while a zone was drained')
-def explained_held(context, key):
+@then('the explanation of "{key}" has tasks that waited while a zone was drained')
+def check_held_explained(context, key):
     held = decisions_on(context, key, "held_zone_drained")
     assert held and all(step["subject"] == DRAINED_ZONE for step in held), held
--- a/features/steps/whole_path_steps.py
+++ b/features/steps/whole_path_steps.py
@@ -49,8 +49,8 @@
     submit(context, job_document(key, 1, 50, upstream=upstream))
 
 
-@when("a malformed job is submitted")
-def submit_malformed(context):
+@when("an invalid job is submitted")
+def submit_invalid(context):
     document = job_document("bad", 2, 50, team=7)
     del document["upstream"]
     document["tasks"] = [{"payload": "x"}, {"payload": 1}]
