--- a/src/gapdrum/agents.py
+++ b/src/gapdrum/agents.py
@@ -180,9 +180,9 @@
 
     def announce(self, announcement: Announcement) -> None:
         """Apply an announcement of the runner."""
-        known = self.runner.announcement
+        previous = self.runner.announcement
         self.runner.announce(announcement, self.timers.now_ms())
-        if known != announcement:
+        if previous != announcement:
             logger.info("runner announced: {}", announcement)
             self.links.send_loads()
         self.ledger.leaving = self.runner.leaving or self.state == DRAINING
--- a/src/gapdrum/codec.py
+++ b/src/gapdrum/codec.py
@@ -26,7 +26,7 @@
 
     def register(message_class: type) -> type:
         if code in _classes:
-            raise ValueError(f"message code {code} is taken by {_classes[code].__name__}")
+            raise ValueError(f"message code {code} already belongs to {_classes[code].__name__}")
         _classes[code] = message_class
         _codes[message_class] = code
         _packers[message_class] = _build_packer(message_class)
@@ -79,14 +79,14 @@
         try:
             self._unpacker.feed(chunk)
         except msgpack.BufferFull as error:
-            raise FrameError("frame exceeds the size limit") from error
+            raise FrameError("the frame exceeds the size limit") from error
         while True:
             try:
                 frame = self._unpacker.unpack()
             except msgpack.OutOfData:
                 return
             except Exception as error:  # msgpack raises several exception types for invalid bytes
-                raise FrameError(f"broken msgpack: {type(error).__name__}") from error
+                raise FrameError(f"invalid msgpack: {type(error).__name__}") from error
             yield decode(frame)
 
 
--- a/src/gapdrum/config.py
+++ b/src/gapdrum/config.py
@@ -101,12 +101,12 @@
         lines = _map_lines(json5.loads(source, loader=ModelLoader()).value, "$")
     except Exception as error:  # json5 raises several exception types for invalid input
         finding = Finding(str(path), f"not JSON with comments: {error}")
-        raise InvalidInputError("the file has findings", findings=(finding,)) from error
+        raise InvalidInputError("the file is not valid", findings=(finding,)) from error
     try:
         return structure(data, target)
     except InvalidInputError as error:
         findings = tuple(_locate(finding, path, lines) for finding in error.findings)
-        raise InvalidInputError("the file has findings", findings=findings) from error
+        raise InvalidInputError("the file is not valid", findings=findings) from error
 
 
 def _locate(finding: Finding, path: Path, lines: dict[str, int]) -> Finding:
--- a/src/gapdrum/entrylinks.py
+++ b/src/gapdrum/entrylinks.py
@@ -183,7 +183,7 @@
             try:
                 await self._connect(link)
             except (StreamClosedError, FrameError) as error:
-                logger.info("entry {}: {} {}", key[0], error.code, error.message)
+                logger.info("stream to entry {} closed: {} {}", key[0], error.code, error.message)
             await asyncio.sleep(RECONNECT_PAUSE_S)
         self._links.pop(key, None)
 
--- a/src/gapdrum/http.py
+++ b/src/gapdrum/http.py
@@ -68,7 +68,7 @@
         text = self.query.get(name, str(default))
         if not text.isdecimal() or len(text) > 12 or int(text) > maximum:
             finding = Finding(f"query {name}", f"expected a whole number up to {maximum}")
-            raise InvalidInputError("the query has findings", findings=(finding,))
+            raise InvalidInputError("the query is not valid", findings=(finding,))
         return int(text)
 
 
--- a/src/gapdrum/models.py
+++ b/src/gapdrum/models.py
@@ -18,7 +18,7 @@
 
 def _check_tasks(_instance: object, _attribute: attrs.Attribute, tasks: list) -> None:
     if not 1 <= len(tasks) <= MAX_TASKS_PER_JOB:
-        raise ValueError(f"tasks must hold 1 to {MAX_TASKS_PER_JOB} entries")
+        raise ValueError(f"tasks must have 1 to {MAX_TASKS_PER_JOB} items")
 
 
 def _check_name(_instance: object, attribute: attrs.Attribute, name: str) -> None:
--- a/src/gapdrum/resources.py
+++ b/src/gapdrum/resources.py
@@ -21,7 +21,7 @@
     """Handlers for submitting, fetching, cancelling and explaining jobs.
 
     ``NONWAITING_THREADS`` handler threads never wait for answers; if all other
-    threads are waiting, further callers are told at once to poll.
+    threads are waiting, further callers get the progress at once and poll.
     """
 
     def __init__(
--- a/src/gapdrum/sessions.py
+++ b/src/gapdrum/sessions.py
@@ -86,7 +86,7 @@
             )
             return response.status, json.loads(response.data)
         except (HTTPError, ValueError) as error:
-            message = f"no answer from {url}: {type(error).__name__}"
+            message = f"no response from {url}: {type(error).__name__}"
             document = {"code": "entry_unreachable", "message": message}
             return 503, {**document, "retry_after_ms": DEFAULT_RETRY_PAUSE_MS}
 
--- a/src/gapdrum/settings.py
+++ b/src/gapdrum/settings.py
@@ -83,14 +83,16 @@
 def check_tree(nodes: object, source: str = "$") -> dict[str, dict[str, int | str]]:
     """Return the nodes if all values are valid; raises InvalidInputError with all findings."""
     if not isinstance(nodes, dict):
-        raise InvalidInputError("findings", findings=(Finding(source, "expected an object"),))
+        raise InvalidInputError(
+            "the settings are not valid", findings=(Finding(source, "expected an object"),)
+        )
     findings: list[Finding] = []
     if len(nodes) > MAX_NODES:
         findings.append(Finding(source, f"more than {MAX_NODES} nodes"))
     for path, values in nodes.items():
         findings.extend(_check_node(path, values, f"{source}[{path!r}]"))
     if findings:
-        raise InvalidInputError("the settings have findings", findings=tuple(findings))
+        raise InvalidInputError("the settings are not valid", findings=tuple(findings))
     return nodes
 
 
