--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -1,4 +1,4 @@
-"""Steps that kill, freeze and cut processes and watch what callers get."""
+"""Steps that kill, freeze and stop processes, and check the answers that callers get."""
 
 import json
 import signal
@@ -17,7 +17,7 @@
 from gapdrum.traces import load_trace
 
 CALL_TIMEOUT_S = 60
-BROKEN_FRAMES = (
+INVALID_FRAMES = (
     b"\xc1\xc1\xc1",
     msgpack.packb([99, "x"]),
     msgpack.packb({"not": "an array"}),
@@ -48,16 +48,16 @@
     wait_started(context, min(tasks, 24))
 
 
-@given('the job "{key}" of {tasks:d} tasks of {run_ms:d} ms is on its way at entry {entry:d}')
-def job_on_its_way(context, key, tasks, run_ms, entry):
+@given('the job "{key}" of {tasks:d} tasks of {run_ms:d} ms is in flight at entry {entry:d}')
+def job_in_flight(context, key, tasks, run_ms, entry):
     start_job(context, key, tasks, run_ms, entry)
 
 
 @given(
     'the job "{key}" of {tasks:d} tasks of {run_ms:d} ms with {starts:d} starts'
-    " is on its way at entry {entry:d}"
+    " is in flight at entry {entry:d}"
 )
-def job_with_starts_on_its_way(context, key, tasks, run_ms, starts, entry):
+def job_with_starts_in_flight(context, key, tasks, run_ms, starts, entry):
     start_job(context, key, tasks, run_ms, entry, starts_allowed=starts)
 
 
@@ -68,7 +68,7 @@
 
 
 @when("{kind:w} {number:d} is killed")
-def kill_one(context, kind, number):
+def kill_process(context, kind, number):
     find_process(context, kind, number).kill()
 
 
@@ -84,13 +84,13 @@
     find_process(context, kind, number).signal(signal.SIGSTOP)
 
 
-@when("{kind:w} {number:d} wakes up")
-def wake(context, kind, number):
+@when("{kind:w} {number:d} resumes")
+def resume(context, kind, number):
     find_process(context, kind, number).signal(signal.SIGCONT)
 
 
-@when("agent 0 wakes up and has caught up")
-def wake_and_catch_up(context):
+@when("agent 0 resumes and has caught up")
+def resume_and_catch_up(context):
     agent = find_process(context, "agent", 0)
     agent.signal(signal.SIGCONT)
     context.system.wait_http(agent, "/readyz")
@@ -182,7 +182,7 @@
     assert status == 202, document
 
 
-@given("runner {number:d} says that it leaves")
+@given("runner {number:d} announces that it leaves")
 def leave(context, number):
     agent = find_process(context, "agent", number)
     headers = {"Authorization": f"Bearer {RUNNER_TOKEN}"}
@@ -191,21 +191,21 @@
 
 
 @given("{seconds:d} seconds have passed")
-def let_pass(_context, seconds):
+def wait_seconds(_context, seconds):
     time.sleep(seconds)
 
 
-@given("runner {number:d} fails everything")
-def fail_everything(context, number):
+@given("runner {number:d} fails all tasks")
+def fail_all_tasks(context, number):
     runner = find_process(context, "runner", number)
     body = json.dumps({"fail_all": True}).encode()
     context.system.pool.request("POST", context.system.url(runner, "/behaviour"), body=body)
 
 
-@when("broken frames of every kind are sent to the streams of entry {entry:d}")
-def send_broken_frames(context, entry):
+@when("invalid frames of every kind are sent to the streams of entry {entry:d}")
+def send_invalid_frames(context, entry):
     config = json.loads((context.system.folder / f"entry-{entry}.json").read_text())
-    for frame in BROKEN_FRAMES:
+    for frame in INVALID_FRAMES:
         with socket.create_connection((HOST, config["streams"]["port"])) as connection:
             connection.sendall(frame)
             connection.shutdown(socket.SHUT_WR)
@@ -214,8 +214,8 @@
                 pass
 
 
-@then("the call on its way is answered as {outcome:w}")
-def check_on_its_way(context, outcome):
+@then("the call in flight is answered as {outcome:w}")
+def check_in_flight(context, outcome):
     context.status, context.document = context.in_flight_call.result(CALL_TIMEOUT_S)
     check_outcome(context, outcome)
 
@@ -265,7 +265,7 @@
 
 
 @then("runner {number:d} started nothing")
-def check_nothing(context, number):
+def check_no_starts(context, number):
     runner = find_process(context, "runner", number)
     runner.signal(signal.SIGCONT)
     assert context.system.get(runner, "/starts")["starts"] == {}
@@ -321,13 +321,13 @@
     assert deviations == [], deviations
 
 
-@when('the store begins to lose {count:d} answers for "{prefix}"')
-def begin_to_lose(context, count, prefix):
+@when('the store starts to lose {count:d} answers for "{prefix}"')
+def start_losing_answers(context, count, prefix):
     lose_answers(context, count, prefix)
 
 
-@given("{count:d} jobs of {tasks:d} tasks of {run_ms:d} ms are on their way at entry {entry:d}")
-def many_on_their_way(context, count, tasks, run_ms, entry):
+@given("{count:d} jobs of {tasks:d} tasks of {run_ms:d} ms are in flight at entry {entry:d}")
+def many_in_flight(context, count, tasks, run_ms, entry):
     context.threads = ThreadPoolExecutor(count)
     context.add_cleanup(context.threads.shutdown, wait=False)
     context.keys = [f"wave-{i}" for i in range(count)]
@@ -339,7 +339,7 @@
     ]
     path = "/v1/open-jobs"
     context.system.wait_for(
-        lambda: len(operate(context, path, entry)["jobs"]) == count, "all jobs are open"
+        lambda: len(get_as_operator(context, path, entry)["jobs"]) == count, "all jobs are open"
     )
 
 
@@ -362,5 +362,5 @@
     assert 0 < sent.get(kind, 0) <= limit, sent
 
 
-def operate(context, path, entry):
+def get_as_operator(context, path, entry):
     return context.system.request("GET", path, entry=entry, token=OPERATOR_TOKEN)[1]
