--- a/src/gapdrum/agent/entry_links.py
+++ b/src/gapdrum/agent/entry_links.py
@@ -20,10 +20,10 @@
 # An owner that does not reconnect within this time has probably died; its callers submit their
 # jobs again 1.3 s after their connections broke.
 OWNER_LOSS_DELAY_MS = 600
-# The agent reconnects to an entry that has not echoed two heartbeats when the third is due. So a
-# silent stream is replaced before the grants end, and the entry's runs go on.
+# The agent reconnects to an entry that has not echoed two of its heartbeats (AgentBeat) when the
+# third is due. So a silent stream is replaced before the grants end, and the entry's runs go on.
 SILENT_ENTRY_MS = 3 * orders.BEAT_INTERVAL_MS - orders.BEAT_INTERVAL_MS // 2
-# A heartbeat that is sent so long after the last one shows that this process was paused.
+# A heartbeat that the agent sends so long after the last one shows that it was paused.
 PAUSE_LIMIT_MS = 2 * orders.BEAT_INTERVAL_MS
 # Prefix of the name of a link to a seed, until the entry there has sent its greeting.
 SEED_PREFIX = "seed/"
@@ -47,7 +47,7 @@
         self.address = address
         self.owner = ""
         self.stream: Stream | None = None
-        self.orders = 0
+        self.orders = 0  # runs ordered on this stream
         self.demand: dict[
             str, orders.UpstreamDemand
         ] = {}  # by upstream at which its jobs wait for room
@@ -320,7 +320,7 @@
             if isinstance(message, (orders.BeatEcho, orders.EntryGreeting)):
                 link.heard_ms = self._timers.now_ms()  # other messages extend no grant
             if link.leaving:
-                continue  # once the entry reads the leaving message, it takes its orders back
+                continue  # the entry places the tasks of dropped orders again (see AgentLeaving)
             if isinstance(message, orders.EntryGreeting):
                 self._greeted(link, message.owner, message.former_owners)
             else:
--- a/src/gapdrum/agent/entry_orders.py
+++ b/src/gapdrum/agent/entry_orders.py
@@ -119,7 +119,7 @@
             controller.ledger.mark_ends_stored(message.numbers, message.superseded)
 
     def _apply_claims(self, link: EntryLink, message: orders.JobsClaimed) -> None:
-        """Refuse lower epochs of the jobs from now on, and send the runs that are held of them."""
+        """Refuse lower epochs of the jobs from now on, and send the entry the jobs' runs here."""
         for row in message.jobs:
             if row.epoch > self._epochs.get(row.job_id, 0):
                 self._epochs[row.job_id] = row.epoch
@@ -164,7 +164,7 @@
         self._notifier.mark_room_changed(message.runner_id)
 
     def _stop_former_incarnations(self, link: EntryLink) -> None:
-        """Stop the non-durable runs of an entry's former incarnations that it has not claimed."""
+        """Stop the non-durable runs of an entry's former incarnations that were not adopted."""
         if not link.owner:
             return
         former = {
@@ -177,11 +177,11 @@
             self.stop_nondurable_runs(owner)
 
     def require_claims(self, link: EntryLink) -> None:
-        """Require an entry that has joined again to claim its runs before its echoes renew them.
+        """Let a rejoined entry's echoes renew its runs only once it has them adopted again.
 
         Otherwise echoes on the new stream would keep up a run whose stop was lost with the former
-        one. An entry process that has lost its lease joins under a new name and claims the runs of
-        its former one; a restarted process claims nothing.
+        stream. An entry that has lost its entry lease goes on as a new incarnation, and has the
+        runs of its former one adopted; a restarted process no longer knows its non-durable jobs.
         """
         for controller in self._controllers.values():
             for run in controller.ledger.runs.values():
--- a/src/gapdrum/agent/grants.py
+++ b/src/gapdrum/agent/grants.py
@@ -5,11 +5,13 @@
 
 
 class Grants:
-    """The last echo of each owner: the latest reading of the agent's clock that it sent back.
+    """Each owner's last echo, and the grant from it: until when the agent acts for the owner.
 
-    For durable jobs, only echoes that an owner sent while it held its lease count. After the agent
-    has started, the owners of present runs and their last echoes are unknown: these runs are not
-    renewed, and are stopped unless their owners claim them soon.
+    A last echo is the latest reading of the agent's clock that the owner sent back. For durable
+    jobs, only echoes sent while the owner held its entry lease in the store count. After the agent
+    has started, the owners of present runs and their last echoes are unknown: a runner's lease is
+    not renewed while it has such runs, and they are stopped unless their owners have the agent
+    adopt them soon. ``core/run_bounds.py`` has the durations.
     """
 
     def __init__(self, bounds: RunBounds) -> None:
@@ -40,7 +42,10 @@
         return self._last_echoes.get((owner, durable))
 
     def lease_deadline_ms(self, owner: str, durable: bool) -> int:
-        """Return when the lease of an owner's new run must have ended at the latest."""
+        """Return when the runner's lease must have ended for a new run of an owner.
+
+        Without a grant it is ``STOP_ALLOWANCE_MS``; the owner's orders are then refused before.
+        """
         return self.until_ms(owner, durable) + STOP_ALLOWANCE_MS
 
     def stop_due_ms(self, run: Run) -> int:
@@ -51,7 +56,7 @@
         return last_echo_ms + self._bounds.grant_ms(run.durable)
 
     def lease_limit_ms(self, run: Run) -> int:
-        """Return when the lease of a run must have ended, 0 if it must not be renewed."""
+        """Return when the runner's lease must have ended for a run's sake, 0 for no renewal."""
         last_echo_ms = self._effective_echo_ms(run)
         return (
             last_echo_ms + self._bounds.lease_duration_ms(run.durable)
@@ -60,7 +65,7 @@
         )
 
     def require_claim(self, run: Run) -> None:
-        """Ignore later echoes of a run's owner for this run until the owner claims it again."""
+        """Ignore later echoes of a run's owner for this run until it is adopted."""
         if run.claimed:
             run.last_echo_ms = self.last_echo_ms(run.owner, run.durable)
             run.claimed = False
@@ -71,5 +76,5 @@
         return now_ms - last_echo_ms if last_echo_ms is not None else None
 
     def _effective_echo_ms(self, run: Run) -> int | None:
-        """Return the last echo that counts for a run: none on a stream on which it is unclaimed."""
+        """Return the last echo that counts for a run: the recorded one until its adoption."""
         return self.last_echo_ms(run.owner, run.durable) if run.claimed else run.last_echo_ms
--- a/src/gapdrum/agent/notifier.py
+++ b/src/gapdrum/agent/notifier.py
@@ -11,20 +11,21 @@
 from gapdrum.core.runner_ledger import Run
 from gapdrum.timers import CoalescedCallback, Timers
 
-# Least time between reports of free room to entries that are short of room.
+# Least time between reports of free room to entries that are short of room; by reports older than
+# this most of their orders would be refused.
 SCARCE_INTERVAL_MS = 25
 # Entries with enough room place tasks well by older reports, and fewer reports save messages.
 RELAXED_INTERVAL_MS = 50
-# Ends that no entry has stored after this time are sent again, to a few entries at a time: one
-# entry may be cut off from the store, and after a power loss each of 160 agents may hold the ends
-# of ten jobs.
+# Ends of runs that no entry has stored after this time are sent again, to a few entries at a time:
+# one entry may be cut off from the store, and after a power loss each of 160 agents may hold the
+# ends of the runs of ten jobs.
 UNSTORED_AFTER_MS = 1_500
 UNSTORED_SEND_ENTRIES = 2
-# An entry counts as short of room for so long after its work has waited or its order was refused;
-# by reports older than 25 ms most of its orders would be refused.
+# An entry counts as short of room for so long after its work has waited or its order was refused.
 SCARCE_MS = 2_000
-NO_OWNER = ""  # the name of no owner, so that every offer counts as made to somebody else
-# Room reserved for other queues is sent while it leaves a queue less than this share of a runner.
+NO_OWNER = ""  # equals no owner's name, so that every offer counts as made to somebody else
+# A queue is sent how much room is reserved for others while this leaves it less than this share
+# of a runner.
 AMPLE_SHARE = 0.25
 FREES_ROOM = (orders.ENDED, orders.NOT_STARTED, orders.LOST)
 
@@ -69,17 +70,17 @@
 
     def _send_freed(self, controller: RunnerController, owners: list[EntryLink]) -> None:
         """Report freed room at once to the entry it is offered to, or else to the runs' owners."""
-        chosen = self._offer(controller)
+        chosen = self._choose_recipient(controller)
         for link in owners if chosen is None else [chosen]:
             self._send_room_change(controller, link)
 
-    def _offer(self, controller: RunnerController) -> EntryLink | None:
-        """Choose an entry that can use the free room, and offer it the room; or return None.
+    def _choose_recipient(self, controller: RunnerController) -> EntryLink | None:
+        """Choose an entry that can use the free room, or none; offer it the room if others wait.
 
         The choice is random among the entries with the most urgent work, weighted by their waiting
         jobs. If all entries were sent the same room, most of their orders would be refused, and
-        small entries, which answer later, would get none. If work waits at one entry only, that
-        entry is chosen and no offer is made.
+        entries that answer later would get none. If work waits at one entry only, it is chosen
+        and no offer is needed.
         """
         upstream = controller.ledger.upstream
         room = controller.free_for(NO_OWNER)
@@ -107,7 +108,7 @@
     def reoffer_room(self, controller: RunnerController, link: EntryLink) -> None:
         """Offer the room that an entry has left of its offer to the next entry."""
         if controller.offers.decline(link.owner):
-            chosen = self._offer(controller)
+            chosen = self._choose_recipient(controller)
             if chosen is not None:
                 self._send_room_change(controller, chosen)
 
@@ -144,7 +145,7 @@
     def _reserved_rows(
         self, controller: RunnerController, free: Resources
     ) -> tuple[orders.KeptRoom, ...]:
-        """Return the room that is reserved from queues while the runner is nearly full."""
+        """Return the room that each queue may not use, while the runner is nearly full."""
         if controller.ledger.capacity is None or free.cpu_milli <= 0:
             return ()
         ample = free.cpu_milli - AMPLE_SHARE * controller.ledger.capacity.cpu_milli
@@ -194,7 +195,7 @@
         return [self._controllers[one] for one in runner_ids if one in self._controllers]
 
     def _send_changes(self, controller: RunnerController) -> None:
-        self._offer(controller)
+        self._choose_recipient(controller)
         self._send_state(controller)
         upstream = controller.ledger.upstream
         now_ms = self._timers.now_ms()
--- a/src/gapdrum/agent/program.py
+++ b/src/gapdrum/agent/program.py
@@ -102,7 +102,7 @@
         self.log.measures.messages = {"sent": self.sent, "received": self.received}
 
     def _queue_gauges(self) -> Iterator[tuple[str, str, int]]:
-        """Yield the room that each queue uses at the runners, and the room reserved from it."""
+        """Yield for each queue the room that it uses, and the free room that it may not use."""
         used: Counter[str] = Counter()
         kept: Counter[str] = Counter()
         for controller in self.controllers.values():
--- a/src/gapdrum/agent/reservation_log.py
+++ b/src/gapdrum/agent/reservation_log.py
@@ -16,7 +16,7 @@
         self._last_ms: dict[tuple[str, str], int] = {}  # by runner and queue
 
     def note(self, ledger: RunnerLedger, rows: tuple[orders.KeptRoom, ...], now_ms: int) -> None:
-        """Record from which queues room of a runner is reserved now."""
+        """Record the queues that may not use a part of a runner's free room now."""
         for row in rows:
             key = (ledger.runner_id, row.queue)
             if key not in self._last_ms:
--- a/src/gapdrum/agent/run_launcher.py
+++ b/src/gapdrum/agent/run_launcher.py
@@ -59,7 +59,7 @@
         if now_ms >= self._context.grants.until_ms(owner, order.durable):
             return orders.ORDER_EXPIRED
         if self._context.lease_exceeds_grant(owner, order.durable, now_ms):
-            return orders.ORDER_EXPIRED
+            return orders.ORDER_EXPIRED  # the owner's echo is too old for the runner's lease
         free = self._context.free_for(owner, now_ms)
         if not free.holds(row.room):
             return orders.NO_ROOM
@@ -70,7 +70,7 @@
     def _begin(
         self, owner: str, order: orders.StartOrder, row: orders.OrderedRun, now_ms: int
     ) -> None:
-        # A start also renews the lease that all runs there share, so the same limits apply to it.
+        # A start also renews the runner's lease, which all its runs share: the same limits apply.
         limit_ms = self._context.grants.lease_deadline_ms(owner, order.durable) - now_ms
         left_ms = max(1, min(START_EXPIRY_MS, self._context.allowed_lease_ms(now_ms), limit_ms))
         expires_ms = self._context.extend_lease(left_ms)
@@ -94,7 +94,7 @@
         self._call_start(run, order.spec, lease_ends_ms)
 
     def _call_start(self, run: Run, spec: str, lease_ends_ms: int) -> None:
-        """Call the runner in the background; replays in virtual time override this."""
+        """Call the runner in the background; ``tools/virtual_runner.py`` overrides this."""
         self._background.spawn(self._start(run, spec, lease_ends_ms))
 
     async def _start(self, run: Run, spec: str, lease_ends_ms: int) -> None:
@@ -210,7 +210,7 @@
         return self._context.grants.stop_due_ms(run)
 
     def stop_overdue_runs(self, now_ms: int) -> None:
-        """Stop the runs whose grant has ended, and repeat stops that had no effect."""
+        """Stop the runs whose owner's grant has ended, and repeat stops that had no effect."""
         for run in list(self.ledger.runs.values()):
             if not run.stopping and now_ms >= self._stop_due_ms(run):
                 run.stopping_ms = now_ms
--- a/src/gapdrum/agent/runner_context.py
+++ b/src/gapdrum/agent/runner_context.py
@@ -16,7 +16,7 @@
 from gapdrum.platform.runner_calls import RunnerCalls
 from gapdrum.timers import Timers
 
-# A lease ends at the runner at most this much later than asked: its clock may be 2% slow.
+# A lease ends at the runner at most this much later than asked. Its clock may be up to 2% slow.
 EXPIRY_MARGIN_MS = 150
 # Nothing is started if the lease must end sooner: a start and one retry take this long.
 MIN_START_LEASE_MS = 250
@@ -24,7 +24,7 @@
 
 @attrs.define(eq=False)
 class RunnerContext:
-    """One incarnation of a runner: the ledger, the calls, and the lease of what runs there.
+    """One incarnation of a runner: its ledger, the calls to it, and its lease for all its runs.
 
     ``report`` is called with the events of runs, and without events after a change of free room.
     ``latest_lease_end_ms`` is the latest end of a lease that was asked for, on the runner's clock.
@@ -86,9 +86,10 @@
     def renewal_ms(self, now_ms: int) -> int:
         """Return the duration to renew the lease by: a full lease, less if an owner is silent.
 
-        It is 0 or less, for no renewal, while the lease must lapse, before the first poll, while
-        the owner of a run is unknown, once the runner has deregistered, and while the runner is
-        idle, because the next run would get whatever lease is present.
+        It is 0 or less, for no renewal, while the lease must lapse for a superseded end (see
+        ``EndsStored``), before the first poll, while the owner of a run is unknown, once the runner
+        has deregistered, and while it is idle: a runner's lease is never shortened, and the next
+        run's owner may allow only a shorter one.
         """
         ledger = self.ledger
         if ledger.awaits_lapse() or ledger.leaving or not ledger.polled:
@@ -109,9 +110,9 @@
         return self.grants.bounds.lease_ms(self.run_lease_ms)
 
     def lease_exceeds_grant(self, owner: str, durable: bool, now_ms: int) -> bool:
-        """Return whether the present lease may last longer than an owner's last echo allows.
+        """Return whether the runner's lease may last longer than an owner's last echo allows.
 
-        Only a stop, which may be lost, could then end a new run in time.
+        Only a stop, which may be lost, could then end a new run of the owner in time.
         """
         allowed_ms = self.grants.lease_deadline_ms(owner, durable) - now_ms
         return (
@@ -120,7 +121,7 @@
         )
 
     def extend_lease(self, left_ms: int) -> int:
-        """Return the end on the runner's clock of a lease to ask for, 0 for no renewal."""
+        """Return and record the lease end to ask for, on the runner's clock; 0 for no renewal."""
         if left_ms <= 0:
             return 0
         until_ms = self.ledger.clock_floor(self.timers.monotonic_ms()) + left_ms
--- a/src/gapdrum/agent/runner_controller.py
+++ b/src/gapdrum/agent/runner_controller.py
@@ -49,6 +49,8 @@
 
     ``report`` is called with the events of runs, and without events after a change of free room.
     ``on_first_poll`` is called once, after the first poll has listed the runs at the runner.
+    Some log events have other terms: a look is a poll, a suspect or resting runner is ejected, and
+    one on trial is half-open.
     """
 
     def __init__(
@@ -136,7 +138,10 @@
         return not self.ledger.reachable or not isinstance(error, TimedOutError)
 
     async def _step(self) -> bool:
-        """Stop the runs that are due, and poll; return whether the poll brought a snapshot."""
+        """Stop the runs that are due, and poll; return whether the runner gave a new answer.
+
+        The first step only initializes the fence.
+        """
         if not self._context.fence:
             await self._initialize_fence()
             return True
--- a/src/gapdrum/agent/runner_registry.py
+++ b/src/gapdrum/agent/runner_registry.py
@@ -1,4 +1,4 @@
-"""The runners of this machine: found by heartbeats, by identity calls, in the platform's list."""
+"""Finds this machine's runner and its successors by heartbeats, calls and the platform's list."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
