--- a/src/gapdrum/entry/acceptance.py
+++ b/src/gapdrum/entry/acceptance.py
@@ -24,7 +24,7 @@
 from gapdrum.exceptions import StoreOutcomeUnknownError, StoreRejectedError
 from gapdrum.timers import MS_PER_S, Timers
 
-# Callers time out after 1.5 s: before that, they are told to retry if an insert is undecided.
+# Callers time out after 1.5 s: before that, they are told to retry if an insert is unsettled.
 ACCEPT_TIMEOUT_MS = 1_100
 INSERT_RETRY_INTERVAL_MS = 300
 
@@ -42,7 +42,7 @@
 
     An insert without an answer may take effect seconds later. It is repeated until the store
     reports that it took effect or that the job already exists, so no accepted job is lost. A
-    job counts as refused only if every insert was answered.
+    job counts as refused only if no insert of it can still take effect.
     """
 
     def __init__(
--- a/src/gapdrum/entry/group_commit.py
+++ b/src/gapdrum/entry/group_commit.py
@@ -10,10 +10,11 @@
 from gapdrum.entry.store_access import StoreAccess
 from gapdrum.exceptions import StoreError
 
-# The store accepts 100 entries and 1 MB a call; a change has up to five entries and 8 KB.
-MAX_ENTRIES = 100
+# The store accepts 100 expectations, puts and removals and 1 MB a call. Most changes have up to
+# five and 8 KB, and a takeover's up to 50 and 150 KB.
+MAX_OPERATIONS = 100
 MAX_BYTES = 800_000
-ENTRY_OVERHEAD_BYTES = 200
+OPERATION_OVERHEAD_BYTES = 200
 
 
 @attrs.define(eq=False)
@@ -22,14 +23,14 @@
     done: asyncio.Future
 
     @property
-    def entries(self) -> int:
+    def operations(self) -> int:
         change = self.transaction
         return len(change.expectations) + len(change.puts) + len(change.removals)
 
     @property
     def size(self) -> int:
         values = sum(len(put.value) * 4 // 3 for put in self.transaction.puts)
-        return values + self.entries * ENTRY_OVERHEAD_BYTES
+        return values + self.operations * OPERATION_OVERHEAD_BYTES
 
 
 class GroupCommitWriter:
@@ -80,11 +81,15 @@
 
 def _take_batch(queue: deque[_Change]) -> list[_Change]:
     batch = [queue.popleft()]
-    entries = batch[0].entries
+    operations = batch[0].operations
     size = batch[0].size
-    while queue and entries + queue[0].entries <= MAX_ENTRIES and size + queue[0].size <= MAX_BYTES:
+    while (
+        queue
+        and operations + queue[0].operations <= MAX_OPERATIONS
+        and size + queue[0].size <= MAX_BYTES
+    ):
         change = queue.popleft()
-        entries += change.entries
+        operations += change.operations
         size += change.size
         batch.append(change)
     return batch
--- a/src/gapdrum/entry/job_api.py
+++ b/src/gapdrum/entry/job_api.py
@@ -70,7 +70,7 @@
         self._shutdown: PlannedShutdown | None = None
 
     def leave(self, shutdown: PlannedShutdown) -> None:
-        """Refuse jobs from now on that would not end before this process does."""
+        """Refuse jobs from now on, except those that ``_accepts_in_shutdown`` admits."""
         self._shutdown = shutdown
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
@@ -179,7 +179,7 @@
     ) -> HttpResponse | None:
         """Return the refusal of a job that is not stored yet, None if it is admitted."""
         if self._shutdown is not None and not self._accepts_in_shutdown(request, queue, job):
-            # After a 503 the caller gives the job up, though other entries can serve it.
+            # Not a 503, after which callers give a job up: other entries can serve this one.
             return self._log_refusal(job_id, queue, 502, "leaving", RETRY_AFTER_S)
         if not job.answered_at_end and not self._store.up:
             return self._log_refusal(job_id, queue, 503, "store_unavailable", RETRY_AFTER_S)
--- a/src/gapdrum/entry/job_ends.py
+++ b/src/gapdrum/entry/job_ends.py
@@ -32,7 +32,9 @@
 
 RETRY_INTERVAL_MS = 200
 PROGRESS_INTERVAL_MS = 250
-# Ends of runs must be acknowledged within ``ack_ms`` (4 s); shorter jobs store them at their end.
+# The platform requires ends of runs to be acknowledged within 4 s (its ``ack_ms``). Ends
+# that are unstored for ``PROGRESS_DELAY_MS`` are stored as progress; a job that ends sooner stores
+# them with its final state.
 PROGRESS_DELAY_MS = 1_200
 MAX_REMEMBERED_ENDS = 20_000  # 2 minutes at 150 jobs a second
 MAX_UNOWNED_LOOKUPS = 16  # at a time; further ends are looked up later
@@ -124,7 +126,7 @@
         self._dispatch.drop_job(job.job_id, "ended")
 
     async def store_progress(self) -> None:
-        """Store the ends of tasks of open jobs once ``PROGRESS_DELAY_MS`` has passed."""
+        """Store the ends of tasks of open jobs that wait for ``PROGRESS_DELAY_MS``."""
         limit_ms = self._timers.now_ms() - PROGRESS_DELAY_MS
         for job in list(self._dispatch.jobs.values()):
             if job.durable and job.ending is None and 0 < job.progress_dirty_ms <= limit_ms:
@@ -151,10 +153,10 @@
         self._log.write("progress_stored", request=job.job_id, ends=len(ends))
         self._dispatch.acknowledge_stored_ends(job, ends)
 
-    # Jobs that peers own.
+    # Jobs that are not open at this entry: peers own them, or they have ended.
 
     async def cancel_unowned(self, job_id: str, row: Row) -> bool:
-        """Cancel an open job of another entry; raises StoreError.
+        """Cancel an open job that a peer owns, in the store; raises StoreError.
 
         Returns False if the row has changed meanwhile and must be read again.
         """
@@ -166,6 +168,8 @@
             return False
         self._log.write("job_cancelled", request=job_id, owner=found.owner, epoch=record.epoch)
         self.remember(job_id, record)
+        # Agents refuse lower epochs of the job from now on, and tell the
+        # owner of runs that they hold of it that it is lost.
         self._links.broadcast(JobsClaimed((JobEpoch(job_id, record.epoch),)))
         self._peers.notify_cancelled(found.owner, job_id, record.epoch)
         return True
@@ -198,7 +202,10 @@
             self._dispatch.acknowledge_ends(place, (event.end_number,))
 
     def _acknowledge_end(self, place: Place, event: RunEvent, known: KnownEnd) -> None:
-        """Acknowledge a run's end, a superseded one only after the runner's lease has lapsed."""
+        """Acknowledge a run's end; a success whose task was run again, only as superseded.
+
+        The agent then lets the runner's lease lapse first, so that the end does not count.
+        """
         name = TaskName.parse(event.task)
         final_attempt = known.attempts.get((name.step, name.index), event.attempt)
         if event.detail == RunEnd.DONE.value and final_attempt > event.attempt:
--- a/src/gapdrum/entry/lease.py
+++ b/src/gapdrum/entry/lease.py
@@ -1,4 +1,4 @@
-"""The entry's own lease in the store, and the leases of its peers."""
+"""The entry lease in the store: this entry's own, and those of its peers."""
 
 import asyncio
 import contextlib
@@ -35,7 +35,7 @@
 LEASE_MS = 4_000
 # Peers add this to the duration, as their clocks and timers differ.
 EXPIRY_MARGIN_MS = 600
-# Former owner names sent to agents: runs under one outlive its lease by about a second.
+# Former owner names sent to agents. An incarnation's runs end about a second after its entry lease.
 MAX_FORMER_OWNERS = 4
 # Replaces the incarnation of a lease that can't be read; no job has such an owner.
 UNREADABLE_INCARNATION = "unreadable"
--- a/src/gapdrum/entry/links.py
+++ b/src/gapdrum/entry/links.py
@@ -93,7 +93,7 @@
         if self.zones.drains.known:
             # Before any order, so that an agent in a drained zone starts no run.
             stream.send(self.zones.drains_message())
-        # Else runs of claimed jobs would be stopped before the first heartbeat is echoed.
+        # Without it, runs of claimed jobs would be stopped before the first AgentBeat is echoed.
         stream.send(self._echo(greeting.clock_ms))
         claims = self.pending_claims()
         if claims:
--- a/src/gapdrum/entry/program.py
+++ b/src/gapdrum/entry/program.py
@@ -108,7 +108,7 @@
         self.limits = HttpLimits()
         self.listener = HttpListener(self.job_api.handle, self.limits, timers)
         self.readiness = HttpListener(self._show_readiness, HttpLimits(), timers)
-        self.control = HttpListener(self._reject_report, HttpLimits(), timers)
+        self.control = HttpListener(self._reject_heartbeat, HttpLimits(), timers)
         self._wire()
         self._add_gauges()
 
@@ -257,10 +257,10 @@
         return json_response(200 if ready else 503, {"ready": ready})
 
     @staticmethod
-    def _reject_report(_request: HttpRequest) -> HttpResponse:
-        """Reject a runner's report, which belongs to the agent on its host.
+    def _reject_heartbeat(_request: HttpRequest) -> HttpResponse:
+        """Reject a runner's heartbeat, which belongs to the agent on its machine.
 
-        Entries listen for reports only so that the settings of others can list them as seeds.
+        Entries listen for heartbeats only so that the settings of others can list them as seeds.
         """
         return json_response(503, {"code": "not_an_agent"})
 
@@ -277,6 +277,7 @@
         return VisibleCapacity(fleet.count_open_agents(), fleet.free_permille())
 
     def _adjust_reach(self) -> None:
+        """Have more or fewer agents connect: a share of all, by the room that entries see."""
         own, others = self._visible_capacity(), self.lease.peer_views()
         work_waits = bool(self.dispatch.placer.demand)
         if self.leaving or not self.reach.adjust(own, others, work_waits, self.timers.now_ms()):
--- a/src/gapdrum/entry/room_demand.py
+++ b/src/gapdrum/entry/room_demand.py
@@ -1,10 +1,10 @@
-"""Sends agents this entry's demand for room."""
+"""Sends agents this entry's demand for room at each upstream."""
 
 from gapdrum.core import orders
 from gapdrum.entry.links import AgentLinks
 from gapdrum.timers import Timers
 
-# Shortest interval between two messages: a few fit into a run of the shortest tasks.
+# Shortest interval between two messages; the shortest tasks run a few times as long.
 ROOM_DEMAND_INTERVAL_MS = 10
 
 
--- a/src/gapdrum/entry/store_access.py
+++ b/src/gapdrum/entry/store_access.py
@@ -36,7 +36,7 @@
 
     @property
     def up(self) -> bool:
-        """Return whether the store counts as available."""
+        """Return whether the store counts as available: no repeated failures, no overdue answer."""
         return self._failures < FAILURES_UNTIL_DOWN and not self._is_silent()
 
     def _is_silent(self) -> bool:
@@ -86,6 +86,7 @@
         return result
 
     def _log_change(self, reason: str) -> None:
+        """Log a change of availability by failures; overdue calls alone are not logged."""
         up = self._failures < FAILURES_UNTIL_DOWN
         if up == self._was_up:
             return
--- a/src/gapdrum/entry/waiting_callers.py
+++ b/src/gapdrum/entry/waiting_callers.py
@@ -1,4 +1,4 @@
-"""Runs non-durable jobs: the caller waits for the result, and resubmits the job without one."""
+"""Runs non-durable jobs: the caller waits for the result, and resubmits the job if none comes."""
 
 import asyncio
 import secrets
