--- a/src/gapdrum/platform/boot.py
+++ b/src/gapdrum/platform/boot.py
@@ -66,6 +66,7 @@
         host=document["ip"],
         # The range is reserved for traffic between gapdrum's processes; streams use its first port.
         streams_port=int(document["port_range"][0]),
+        # ``platform.address`` is the store's.
         store=parse_endpoint(platform["address"]),
         store_limits=StoreLimits(
             float(platform["writes_per_s"]),
--- a/src/gapdrum/platform/machine_list.py
+++ b/src/gapdrum/platform/machine_list.py
@@ -17,7 +17,7 @@
 async def find_listed_runner(
     address: Endpoint, runner_id: str, timeout_ms: int
 ) -> ListedRunner | None:
-    """Return the runner's entry in the list, None if there is none.
+    """Return the runner's row in the list, None if there is none.
 
     Raises NotSentError, and NoReplyError also for an error status or a malformed reply.
     """
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class ListPage:
-    """The runner's entry on a page, if any, and the token of the next page."""
+    """The runner's row on a page, if any, and the token of the next page."""
 
     found: ListedRunner | None
     next_token: str
@@ -45,7 +45,7 @@
 def decode_page(document: Any, runner_id: str) -> ListPage:
     """Decode a page and look a runner up on it; raises NoReplyError.
 
-    Malformed entries of other writers are ignored.
+    Rows that are not objects are ignored, as are malformed rows of other runners.
     """
     try:
         rows = [row for row in document["machines"] if isinstance(row, dict)]
--- a/src/gapdrum/platform/queue_shares.py
+++ b/src/gapdrum/platform/queue_shares.py
@@ -22,7 +22,10 @@
 
 @attrs.frozen
 class QueuesWithShares:
-    """The queues with their shares, and findings about the rejected values."""
+    """The queues with their shares, and findings about the rejected values.
+
+    Former shares that don't fit beside new ones are set to 0 without a finding.
+    """
 
     queues: tuple[Queue, ...]
     findings: tuple[Finding, ...]
--- a/src/gapdrum/platform/submissions.py
+++ b/src/gapdrum/platform/submissions.py
@@ -16,13 +16,15 @@
 MAX_TASKS = 10_000  # bounds the work per request; users state at most 390 tasks
 MAX_COUNT = 2**31
 
-# How many milliseconds a caller waits for a response, from when it sent the request.
+# A duration: how many milliseconds a caller waits for a response. The platform counts it from when
+# the request is sent, ``WaitingCallers`` from when it is received.
 WAIT_LIMIT_HEADER = "x-deadline"
 MAX_WAIT_LIMIT_MS = 24 * 60 * 60 * 1_000
 MAX_WAIT_LIMIT_DIGITS = len(str(MAX_WAIT_LIMIT_MS))
 
-# Fields of a step that require what is not implemented. Speculative copies and checkpoints
-# are optional for the dispatcher, so their fields are accepted without effect.
+# Fields of a step that require what is not implemented. Speculative copies and checkpoints are
+# optional for the dispatcher: ``speculative`` and ``saves_progress`` are accepted without effect,
+# as is ``image``.
 UNSUPPORTED_STEP_FIELDS = ("gang", "same_rack", "long_running", "fills", "may_miss", "target_ms")
 UNSUPPORTED_JOB_FIELDS = ("times", "start_at_ms", "interval_ms")
 JOB_FIELDS = {"spec", "steps", "best_effort", *UNSUPPORTED_JOB_FIELDS}
--- a/src/gapdrum/transport/http_server.py
+++ b/src/gapdrum/transport/http_server.py
@@ -23,7 +23,7 @@
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 262_144
-    header_timeout_ms: int = 3_000
+    header_timeout_ms: int = 3_000  # from the first byte of a request to the end of its body
     idle_timeout_ms: int = 15_000
 
 
@@ -32,7 +32,7 @@
 
     ::
 
-        listener = HttpListener(handle, HttpLimits())
+        listener = HttpListener(handle, HttpLimits(), timers)
         await listener.open("10.0.0.1", 8080)
     """
 
@@ -219,7 +219,8 @@
     def _refuse(self, status: int, code: str) -> None:
         """Reject a malformed request, and close the connection without a reset.
 
-        Requests that were read before it on the same connection are answered first.
+        Requests that were read before it are answered first. In this case the connection then
+        closes without a response to the malformed one.
         """
         if self._refused:
             return
