--- a/src/gapdrum/agent/entry_directory.py
+++ b/src/gapdrum/agent/entry_directory.py
@@ -20,7 +20,7 @@
 
 
 class EntryDirectory:
-    """Watches the table of addresses, and registers its entries at ``links``."""
+    """Watches the table of addresses, and registers the entries in its rows at ``links``."""
 
     def __init__(
         self,
--- a/src/gapdrum/agent/entry_links.py
+++ b/src/gapdrum/agent/entry_links.py
@@ -241,7 +241,10 @@
         link.task = self._background.keep(lambda: self._keep(link))
 
     def _leave(self, link: EntryLink) -> None:
-        """Send a leaving message to an entry of which nothing is held; close the stream later."""
+        """Cease to serve an entry of which nothing is held: send AgentLeaving, and close later.
+
+        The log's ``entry_left`` is about this; the entry itself goes on.
+        """
         self._log.write("entry_left", entry=link.entry)
         link.send(orders.AgentLeaving())
         link.leaving = True
--- a/src/gapdrum/agent/table_standby.py
+++ b/src/gapdrum/agent/table_standby.py
@@ -30,7 +30,7 @@
         self._following: asyncio.Task | None = None
 
     def check(self) -> None:
-        """Start or stop following the table; called with each heartbeat."""
+        """Start or stop following the table; called with each AgentBeat."""
         now_ms = self._timers.now_ms()
         if any(link.owner and link.follows_table for link in self._links):
             self._followed_ms = now_ms
--- a/src/gapdrum/entry/links.py
+++ b/src/gapdrum/entry/links.py
@@ -13,7 +13,7 @@
 from gapdrum.timers import Timers
 from gapdrum.zone_watch import ZoneWatch
 
-# A stream without a heartbeat for this long is closed; the agent reconnects.
+# A stream without an AgentBeat for this long is closed; the agent reconnects.
 STREAM_TIMEOUT_MS = 2_000
 
 
@@ -147,7 +147,7 @@
             raise FrameError(f"unexpected message {type(message).__name__}")
 
     def close_silent_streams(self) -> None:
-        """Close streams on which no heartbeat came for ``STREAM_TIMEOUT_MS``."""
+        """Close streams on which no AgentBeat came for ``STREAM_TIMEOUT_MS``."""
         limit_ms = self._timers.now_ms() - STREAM_TIMEOUT_MS
         for agent, stream in list(self._streams.items()):
             view = self.dispatch.fleet.agents.get(agent)
