--- a/features/steps/admission_steps.py
+++ b/features/steps/admission_steps.py
@@ -19,7 +19,7 @@
             "flags", "inspect-desk", "{}", "entry-1/life", 1, 0, (step_row(one_step(1)),)
         )
         job = build_job(
-            f"{number:016x}", record, 7, context.now_ms, durable=False, failures_allowed=3,
+            f"{number:016x}", record, 7, context.now_ms, durable=False, failure_limit=3,
             priority=0, latency_factor=1.6, latency_slack_ms=60,
         )  # fmt: skip
         context.dispatch.add_job(job, context.now_ms)
--- a/features/steps/lost_answer_steps.py
+++ b/features/steps/lost_answer_steps.py
@@ -306,12 +306,14 @@
     context.schedule = schedule = PollSchedule()
     schedule.record_lost_answer(0)
     context.older, context.newer = schedule.begin(200, 0), schedule.begin(200, 25)
-    assert schedule.is_news(context.newer.number, 40)
+    assert schedule.accept_snapshot(context.newer.number, 40)
 
 
 @when("the older one, whose snapshot is not newer, is answered")
 def older_comes(context):
-    context.news = [context.schedule.is_news(context.older.number, clock) for clock in (39, 40)]
+    context.news = [
+        context.schedule.accept_snapshot(context.older.number, clock) for clock in (39, 40)
+    ]
 
 
 @then("the older snapshot is ignored")
@@ -322,7 +324,7 @@
 @then("a snapshot of a poll that began after both is used, whatever its clock")
 def later_used(context):
     later = context.schedule.begin(200, 50)
-    assert context.schedule.is_news(later.number, 40)
+    assert context.schedule.accept_snapshot(later.number, 40)
 
 
 @then("each end is reported once, and no run is left there")
--- a/features/steps/platform_core_steps.py
+++ b/features/steps/platform_core_steps.py
@@ -123,12 +123,12 @@
 
 @when("the ends {first:d} and {second:d} are stored")
 def ends_stored(context, first, second):
-    context.ledger.mark_ends_stored((first, second), ())
+    context.ledger.mark_acknowledgeable((first, second), ())
 
 
 @when("the end {number:d} was superseded")
 def end_superseded(context, number):
-    context.ledger.mark_ends_stored((), (number,))
+    context.ledger.mark_acknowledgeable((), (number,))
 
 
 @when("the lease has lapsed")
@@ -210,15 +210,15 @@
 
 @then("it is ejected at {first:d} and at {second:d}, and is half-open at {third:d}")
 def is_ejected_then_half_open(context, first, second, third):
-    assert context.health.is_ejected(first)
-    assert context.health.is_ejected(second)
-    assert not context.health.is_ejected(third)
+    assert context.health.update_ejection(first)
+    assert context.health.update_ejection(second)
+    assert not context.health.update_ejection(third)
     assert context.health.half_open
 
 
 @then("it is not ejected at {time:d}")
 def not_ejected(context, time):
-    assert not context.health.is_ejected(time)
+    assert not context.health.update_ejection(time)
 
 
 # The owner's dispatch.
@@ -291,7 +291,7 @@
     tasks,
     failures=3,
     epoch=1,
-    unknown_deadline_ms=0,
+    requeue_unknown_at_ms=0,
     durable=True,
     job_id=JOB,
     step=None,
@@ -305,13 +305,13 @@
         7,
         context.now_ms,
         durable=durable,
-        failures_allowed=failures,
+        failure_limit=failures,
         priority=0,
         latency_factor=1.6,
         latency_slack_ms=60,
     )
-    if unknown_deadline_ms:
-        job.unknown_deadline_ms = unknown_deadline_ms
+    if requeue_unknown_at_ms:
+        job.requeue_unknown_at_ms = requeue_unknown_at_ms
         for task in job.tasks:
             task.phase = TaskPhase.UNKNOWN
     context.job = job
@@ -386,7 +386,7 @@
 
 @given("a job of 1 tasks that was taken over with epoch {epoch:d}")
 def new_taken_job(context, epoch):
-    add_job(context, 1, epoch=epoch, unknown_deadline_ms=context.now_ms + SILENCE_LIMIT_MS)
+    add_job(context, 1, epoch=epoch, requeue_unknown_at_ms=context.now_ms + SILENCE_LIMIT_MS)
 
 
 @when("no run at an agent can be left any more")
@@ -828,7 +828,7 @@
 
 @then("{cpu:d} of them are still withheld from others")
 def withheld_from_others(context, cpu):
-    kept = offers_of(context).kept_from("entry-2/life", context.timers.now_ms())
+    kept = offers_of(context).withheld_from("entry-2/life", context.timers.now_ms())
     assert kept.cpu_milli == cpu, kept
 
 
@@ -965,7 +965,7 @@
             0,
             accepted_ms,
             durable=False,
-            failures_allowed=1,
+            failure_limit=1,
             priority=int(row["priority"]),
             latency_factor=1.6,
             latency_slack_ms=100,
--- a/features/steps/run_bounds_steps.py
+++ b/features/steps/run_bounds_steps.py
@@ -20,9 +20,9 @@
 
 def max_run_end_ms(context, durable):
     """Return the greatest real time from the owner's last echo to the end of a run."""
-    lease_duration_ms = context.bounds.lease_duration_ms(durable)
+    lease_bound_ms = context.bounds.lease_bound_ms(durable)
     lease_ms = context.bounds.lease_ms(context.lease_ms)
-    return lease_duration_ms - lease_ms + lease_ms / CLOCK_RATE_FLOOR + RUNNER_STOP_MS
+    return lease_bound_ms - lease_ms + lease_ms / CLOCK_RATE_FLOOR + RUNNER_STOP_MS
 
 
 @then(
--- a/features/steps/submission_steps.py
+++ b/features/steps/submission_steps.py
@@ -75,7 +75,7 @@
     def part(self):
         """End the stream; messages under way are lost."""
         self.agent.links._end_stream(self.link)
-        self.dispatch.fleet.agent_left(self.view)
+        self.dispatch.fleet.agent_stream_ended(self.view)
         self.effects.sent.clear()
 
     def echo(self):
--- a/features/steps/urgent_work_steps.py
+++ b/features/steps/urgent_work_steps.py
@@ -70,7 +70,7 @@
 def check_kept(context, capacity):
     for row in context.table:
         used = {name: int(row[name]) for name in context.table.headings[:-2]}
-        kept = context.shares.kept_from(UPSTREAM, row["from"], capacity, used, context.now_ms)
+        kept = context.shares.withheld_from(UPSTREAM, row["from"], capacity, used, context.now_ms)
         assert kept == int(row["kept"]), (dict(row.items()), kept)
         by_queue = context.shares.kept(UPSTREAM, capacity, used, context.now_ms)
         assert by_queue.get(row["from"], 0) == kept, by_queue
--- a/src/gapdrum/agent/entry_orders.py
+++ b/src/gapdrum/agent/entry_orders.py
@@ -116,7 +116,7 @@
     def _apply_stored_ends(self, _link: EntryLink, message: orders.EndsStored) -> None:
         controller = self._controllers.get(message.runner_id)
         if controller is not None:
-            controller.ledger.mark_ends_stored(message.numbers, message.superseded)
+            controller.ledger.mark_acknowledgeable(message.numbers, message.superseded)
 
     def _apply_claims(self, link: EntryLink, message: orders.JobsClaimed) -> None:
         """Refuse lower epochs of the jobs from now on, and send the entry the jobs' runs here."""
--- a/src/gapdrum/agent/grants.py
+++ b/src/gapdrum/agent/grants.py
@@ -59,7 +59,7 @@
         """Return when the runner's lease must have ended for a run's sake, 0 for no renewal."""
         last_echo_ms = self._effective_echo_ms(run)
         return (
-            last_echo_ms + self._bounds.lease_duration_ms(run.durable)
+            last_echo_ms + self._bounds.lease_bound_ms(run.durable)
             if last_echo_ms is not None
             else 0
         )
--- a/src/gapdrum/agent/notifier.py
+++ b/src/gapdrum/agent/notifier.py
@@ -261,7 +261,7 @@
             rows = tuple(
                 end.to_event(number)
                 for number, end in controller.ledger.ends.items()
-                if end.noted_ms < limit_ms and not end.stored and not end.superseded
+                if end.listed_ms < limit_ms and not end.acknowledgeable and not end.superseded
             )
             for link in chosen if rows else ():
                 link.send(orders.RunEvents(controller.runner_id, rows))
--- a/src/gapdrum/agent/run_launcher.py
+++ b/src/gapdrum/agent/run_launcher.py
@@ -63,7 +63,7 @@
         free = self._context.free_for(owner, now_ms)
         if not free.holds(row.room):
             return orders.NO_ROOM
-        if self._context.is_kept_from(order.queue, row.room, free, now_ms):
+        if self._context.is_reserved_from(order.queue, row.room, free, now_ms):
             return orders.ROOM_KEPT
         return None
 
@@ -73,7 +73,7 @@
         # A start also renews the runner's lease, which all its runs share: the same limits apply.
         limit_ms = self._context.grants.lease_deadline_ms(owner, order.durable) - now_ms
         left_ms = max(1, min(START_EXPIRY_MS, self._context.allowed_lease_ms(now_ms), limit_ms))
-        expires_ms = self._context.extend_lease(left_ms)
+        expires_ms = self._context.plan_renewal(left_ms)
         run = Run(
             order.key_of(row),
             owner,
--- a/src/gapdrum/agent/runner_context.py
+++ b/src/gapdrum/agent/runner_context.py
@@ -53,7 +53,7 @@
         """Return the room that an owner may use now."""
         if not self.may_start(now_ms):
             return ZERO_RESOURCES
-        return self.ledger.free - self.offers.kept_from(owner, now_ms)
+        return self.ledger.free - self.offers.withheld_from(owner, now_ms)
 
     def may_start(self, now_ms: int) -> bool:
         """Return whether a start can still take effect before the lease ends.
@@ -75,10 +75,10 @@
         capacity = ledger.capacity.cpu_milli
         return self.shares.kept(ledger.upstream, capacity, ledger.used_cpu_milli, now_ms)
 
-    def is_kept_from(self, queue: str, room: Resources, free: Resources, now_ms: int) -> bool:
+    def is_reserved_from(self, queue: str, room: Resources, free: Resources, now_ms: int) -> bool:
         """Return whether a task would use room that is reserved for other queues."""
         ledger = self.ledger
-        kept = self.shares.kept_from(
+        kept = self.shares.withheld_from(
             ledger.upstream, queue, ledger.capacity.cpu_milli, ledger.used_cpu_milli, now_ms
         )
         return free.cpu_milli - room.cpu_milli < kept
@@ -120,7 +120,7 @@
             > self.ledger.clock_floor(self.timers.monotonic_ms()) + allowed_ms
         )
 
-    def extend_lease(self, left_ms: int) -> int:
+    def plan_renewal(self, left_ms: int) -> int:
         """Return and record the lease end to ask for, on the runner's clock; 0 for no renewal."""
         if left_ms <= 0:
             return 0
--- a/src/gapdrum/agent/runner_controller.py
+++ b/src/gapdrum/agent/runner_controller.py
@@ -220,7 +220,7 @@
     def _check_ejection(self, now_ms: int) -> None:
         """Report to the entries that the ejection of a runner is over and it is half-open."""
         was_ejected = bool(self.ledger.health.ejected_until_ms)
-        if was_ejected and not self.ledger.health.is_ejected(now_ms):
+        if was_ejected and not self.ledger.health.update_ejection(now_ms):
             self._log.write("runner_on_trial", runner=self.runner_id)
             self._context.report([])
 
--- a/src/gapdrum/agent/runner_poller.py
+++ b/src/gapdrum/agent/runner_poller.py
@@ -79,7 +79,7 @@
         number, outcome = self._outcomes.popleft()
         if isinstance(outcome, Exception):
             raise outcome
-        return outcome if self._schedule.is_news(number, outcome.clock_ms) else None
+        return outcome if self._schedule.accept_snapshot(number, outcome.clock_ms) else None
 
     def _begin(self, poll: Poll) -> None:
         left_ms = self._context.renewal_ms(poll.began_ms)
@@ -114,7 +114,7 @@
     async def poll(self, left_ms: int, wait_ms: int) -> RunnerSnapshot:
         """Poll once, and renew the lease by ``left_ms``; raises what the call raises."""
         context = self._context
-        until_ms = context.extend_lease(left_ms)
+        until_ms = context.plan_renewal(left_ms)
         call = context.bound.begin_renewal(
             context.timers.monotonic_ms() + left_ms + EXPIRY_MARGIN_MS
         )
--- a/src/gapdrum/core/configuration.py
+++ b/src/gapdrum/core/configuration.py
@@ -20,7 +20,7 @@
     """A queue: the host and path prefix of its submissions, and how its jobs are run.
 
     A job's latency objective is ``latency_factor`` times the work of its longest chain of steps,
-    plus ``latency_slack_ms``. A job fails once a task has ``failures_allowed`` failed attempts.
+    plus ``latency_slack_ms``. A job fails once a task has ``failure_limit`` failed attempts.
     ``upstream`` names the group of runners that its jobs use. The most urgent ``priority`` is 0.
     Queues of one priority share scarce room by their ``weight``;
     ``reserved_permille`` of the room is reserved for the queue while it is scarce, and the queue
@@ -32,7 +32,7 @@
     prefix: str = text_field()
     upstream: str = text_field()
     priority: int = count_field()
-    failures_allowed: int = count_field()
+    failure_limit: int = count_field()
     latency_factor: float = attrs.field(validator=_check_factor)
     latency_slack_ms: int = count_field()
     timeout_ms: int = count_field()
--- a/src/gapdrum/core/dispatch.py
+++ b/src/gapdrum/core/dispatch.py
@@ -239,7 +239,7 @@
             job.record_end(task, event.attempt, end, now_ms)
         if job.durable and end in (RunEnd.DONE, RunEnd.FAILED):
             self._add_unstored_end(job, StoredEnd(place, event.end_number))
-            job.progress_dirty_ms = job.progress_dirty_ms or now_ms
+            job.unstored_progress_since_ms = job.unstored_progress_since_ms or now_ms
         if job.has_waiting_tasks:
             self.placer.enqueue(job)
         self._check_outcome(job)
@@ -410,9 +410,9 @@
     def requeue_unknown_tasks(self, now_ms: int) -> None:
         """Requeue tasks of taken-over jobs once no earlier run of them can be left."""
         for job in self.jobs.values():
-            if not job.unknown_deadline_ms or now_ms < job.unknown_deadline_ms:
+            if not job.requeue_unknown_at_ms or now_ms < job.requeue_unknown_at_ms:
                 continue
-            job.unknown_deadline_ms = 0
+            job.requeue_unknown_at_ms = 0
             for task in job.tasks:
                 if task.phase is TaskPhase.UNKNOWN:
                     job.release(task)
--- a/src/gapdrum/core/expected_end.py
+++ b/src/gapdrum/core/expected_end.py
@@ -15,7 +15,7 @@
 SAFE_MARGIN_FACTOR = 1.5
 
 
-class DeadlineMargin(enum.IntEnum):
+class ObjectiveMargin(enum.IntEnum):
     """How surely a task that begins now ends within its job's latency objective.
 
     The firm deadline, which is later, plays no part.
@@ -44,28 +44,28 @@
     step: Step
     far_factor: float
     left_ms: int
-    best: DeadlineMargin
+    best: ObjectiveMargin
 
     def factor(self, view: RunnerView) -> float:
         """Return the factor from the task's stated work to its duration at a runner."""
         return self.speeds.of(view) * distance(self.step, view, self.far_factor)
 
-    def deadline_margin(self, view: RunnerView) -> DeadlineMargin:
+    def objective_margin(self, view: RunnerView) -> ObjectiveMargin:
         """Return the margin with which the task would end at a runner."""
         if not self.speeds.relative and not self.step.data_rack:
             return self.best  # the task takes equally long at all runners
-        return deadline_margin(self.step.estimate_ms * self.factor(view), self.left_ms)
+        return objective_margin(self.step.estimate_ms * self.factor(view), self.left_ms)
 
     def is_worth_waiting(self, view: RunnerView) -> bool:
         """Tell whether the task would end late at a runner but in time at one that may get room."""
-        return self.deadline_margin(view) < min(self.best, DeadlineMargin.CLOSE)
+        return self.objective_margin(view) < min(self.best, ObjectiveMargin.CLOSE)
 
 
-def deadline_margin(expected_ms: float, left_ms: float) -> DeadlineMargin:
+def objective_margin(expected_ms: float, left_ms: float) -> ObjectiveMargin:
     """Return the margin of an expected duration within the time left."""
     if left_ms >= SAFE_MARGIN_FACTOR * expected_ms:
-        return DeadlineMargin.SAFE
-    return DeadlineMargin.CLOSE if left_ms >= expected_ms else DeadlineMargin.LATE
+        return ObjectiveMargin.SAFE
+    return ObjectiveMargin.CLOSE if left_ms >= expected_ms else ObjectiveMargin.LATE
 
 
 def left_ms(job: Job, task: Task, now_ms: int) -> int:
--- a/src/gapdrum/core/fleet.py
+++ b/src/gapdrum/core/fleet.py
@@ -77,7 +77,7 @@
         self.effects.note("agent_joined", agent=greeting.agent, incarnation=greeting.incarnation)
         return view
 
-    def agent_left(self, view: AgentView) -> None:
+    def agent_stream_ended(self, view: AgentView) -> None:
         """Record that an agent's stream has ended; its runs continue until their grant ends."""
         view.connected = False
         self.effects.note("agent_disconnected", agent=view.agent)
@@ -97,7 +97,7 @@
         if runner is None:
             if report.state == orders.GONE:
                 return None
-            runner = RunnerView(place, view, unsynced_ms=now_ms)
+            runner = RunnerView(place, view, unsynced_since_ms=now_ms)
             self.runners[place] = runner
         if runner.state != report.state:
             self.effects.note("runner_state", runner=report.runner_id, state=report.state)
@@ -122,7 +122,10 @@
         for runner in list(self.runners.values()):
             # The agent has joined again without sending its holdings at the runner, which is gone
             # or unreachable.
-            if not runner.synced and now_ms - runner.unsynced_ms > run_bounds.SILENCE_LIMIT_MS:
+            if (
+                not runner.synced
+                and now_ms - runner.unsynced_since_ms > run_bounds.SILENCE_LIMIT_MS
+            ):
                 lost.append(self._remove(runner, "runner_not_told"))
         return lost
 
--- a/src/gapdrum/core/jobs.py
+++ b/src/gapdrum/core/jobs.py
@@ -106,7 +106,7 @@
     durable: bool
     accepted_wall_ms: int
     accepted_ms: int  # accepted or taken over by this entry; objective counts from here
-    failures_allowed: int  # the job fails once a task has so many failed attempts
+    failure_limit: int  # the job fails once a task has so many failed attempts
     priority: int
     chain_ms: int
     objective_ms: int
@@ -119,9 +119,11 @@
     begun: bool = False
     ending: JobState | None = None
     has_progress_row: bool = False
-    progress_dirty_ms: int = 0  # since when there is progress that is not stored, 0 if none is
+    unstored_progress_since_ms: int = (
+        0  # since when there is progress that is not stored, 0 if none is
+    )
     unstored_ends: list[StoredEnd] = attrs.Factory(list)
-    unknown_deadline_ms: int = 0  # when tasks that are still UNKNOWN are requeued, 0 if none is
+    requeue_unknown_at_ms: int = 0  # when tasks that are still UNKNOWN are requeued, 0 if none is
     caller_deadline_ms: int | None = None  # when its last caller stops waiting, if known
 
     @property
@@ -200,10 +202,10 @@
             return
         if end is RunEnd.DONE:
             task.phase = TaskPhase.DONE
-            self.progress_dirty_ms = self.progress_dirty_ms or now_ms
+            self.unstored_progress_since_ms = self.unstored_progress_since_ms or now_ms
         elif end is RunEnd.FAILED:
             task.failed_attempts.add(attempt)
-            self.progress_dirty_ms = self.progress_dirty_ms or now_ms
+            self.unstored_progress_since_ms = self.unstored_progress_since_ms or now_ms
         # A task of phase UNKNOWN is not requeued here: a later run of it may be at an agent that
         # has not reported yet.
         open_phases = (TaskPhase.ORDERED, TaskPhase.RUNNING)
@@ -220,7 +222,7 @@
 
     def outcome(self) -> JobState | None:
         """Return the final state that follows from its tasks, None while the job is open."""
-        if any(len(task.failed_attempts) >= self.failures_allowed for task in self.tasks):
+        if any(len(task.failed_attempts) >= self.failure_limit for task in self.tasks):
             return JobState.FAILED
         if all(task.phase is TaskPhase.DONE for task in self.tasks):
             return JobState.SUCCEEDED
@@ -263,7 +265,7 @@
     now_ms: int,
     *,
     durable: bool,
-    failures_allowed: int,
+    failure_limit: int,
     priority: int,
     latency_factor: float,
     latency_slack_ms: int,
@@ -287,7 +289,7 @@
         durable=durable,
         accepted_wall_ms=record.accepted_wall_ms,
         accepted_ms=now_ms,
-        failures_allowed=failures_allowed,
+        failure_limit=failure_limit,
         priority=priority,
         chain_ms=chain_ms,
         objective_ms=int(chain_ms * latency_factor) + latency_slack_ms,
--- a/src/gapdrum/core/placement_rules.py
+++ b/src/gapdrum/core/placement_rules.py
@@ -7,7 +7,7 @@
 import attrs
 
 from gapdrum.core import orders
-from gapdrum.core.expected_end import CompletionForecast, DeadlineMargin, deadline_margin, left_ms
+from gapdrum.core.expected_end import CompletionForecast, ObjectiveMargin, left_ms, objective_margin
 from gapdrum.core.fleet_speeds import FleetSpeeds, measure_speeds
 from gapdrum.core.jobs import Job, Task
 from gapdrum.core.models import Step
@@ -29,7 +29,7 @@
 # Urgency levels of a priority class: each halving of slack is one, from about a minute down.
 MAX_HALVINGS = 16
 
-Score = tuple[bool, bool, DeadlineMargin, bool, float, bool, int]
+Score = tuple[bool, bool, ObjectiveMargin, bool, float, bool, int]
 
 
 @attrs.frozen
@@ -55,7 +55,7 @@
         """Return the forecast of a task that begins now."""
         step = task.step
         time_ms = left_ms(job, task, now_ms)
-        best = deadline_margin(step.estimate_ms * self._best_factor(step), time_ms)
+        best = objective_margin(step.estimate_ms * self._best_factor(step), time_ms)
         return CompletionForecast(self.speeds, step, self.far_factor, time_ms, best)
 
     def _best_factor(self, step: Step) -> float:
@@ -233,7 +233,7 @@
     return (
         view.place.runner_id not in task.avoided,
         not pool.is_slow(view),
-        min(forecast.best, forecast.deadline_margin(view)),
+        min(forecast.best, forecast.objective_margin(view)),
         not rack or rack in view.labels,
         free_cpu_milli * FREE_SHARE_STEPS / pool.speeds.of(view) // capacity,
         view.agent.zone == zone,
--- a/src/gapdrum/core/placer.py
+++ b/src/gapdrum/core/placer.py
@@ -250,7 +250,7 @@
         if waits_for_better(job, task, pool, now_ms):
             return "late_where_room_is"
         room = task.step.resources
-        reserved = any(view.is_kept_from(job.queue, room) for view in pool.with_room)
+        reserved = any(view.is_reserved_from(job.queue, room) for view in pool.with_room)
         return orders.ROOM_KEPT if reserved else orders.NO_ROOM
 
     def _assign(self, job: Job, task: Task, runner: RunnerView, now_ms: int) -> None:
--- a/src/gapdrum/core/poll_schedule.py
+++ b/src/gapdrum/core/poll_schedule.py
@@ -156,7 +156,7 @@
             times.append(next_ms)
         return min(times, default=None)
 
-    def is_news(self, number: int, clock_ms: int) -> bool:
+    def accept_snapshot(self, number: int, clock_ms: int) -> bool:
         """Return whether a poll's snapshot is newer than those before, and record it if so.
 
         Answers to overlapping polls may arrive out of order. The content of an older one is either
--- a/src/gapdrum/core/room_offers.py
+++ b/src/gapdrum/core/room_offers.py
@@ -24,7 +24,7 @@
     ::
 
         offers.make("entry-1/incarnation", freed, now_ms)
-        free = ledger.free - offers.kept_from("entry-2/incarnation", now_ms)
+        free = ledger.free - offers.withheld_from("entry-2/incarnation", now_ms)
     """
 
     _offers: list[_Offer] = attrs.Factory(list)
@@ -38,7 +38,7 @@
         self._expire(now_ms)
         return bool(self._offers)
 
-    def kept_from(self, owner: str, now_ms: int) -> Resources:
+    def withheld_from(self, owner: str, now_ms: int) -> Resources:
         """Return the room that an owner may not use, as it is offered to others."""
         self._expire(now_ms)
         offered = ZERO_RESOURCES
--- a/src/gapdrum/core/room_shares.py
+++ b/src/gapdrum/core/room_shares.py
@@ -64,7 +64,7 @@
 
     queues: Mapping[str, QueueShare]
 
-    def kept_from(self, name: str, capacity: int, used: Used) -> int:
+    def withheld_from(self, name: str, capacity: int, used: Used) -> int:
         """Return how much of a runner's free room a queue may not use, for others' sake."""
         own = self.queues.get(name)
         if own is None:
@@ -127,7 +127,7 @@
     demand of an entry that has gone expires, so that no room stays reserved for it::
 
         shares.take("entry-1", demands.queues, now_ms)
-        kept = shares.kept_from("reports", "nightly", 16_000, {"previews": 1_200}, now_ms)
+        kept = shares.withheld_from("reports", "nightly", 16_000, {"previews": 1_200}, now_ms)
     """
 
     _demands: dict[str, tuple[int, tuple[orders.QueueDemand, ...]]] = attrs.Factory(dict)
@@ -144,13 +144,15 @@
         shares = self._shares(upstream, now_ms)
         if shares is None or capacity <= 0:
             return {}
-        rows = {name: shares.kept_from(name, capacity, used) for name in shares.queues}
+        rows = {name: shares.withheld_from(name, capacity, used) for name in shares.queues}
         return {name: kept for name, kept in rows.items() if kept}
 
-    def kept_from(self, upstream: str, queue: str, capacity: int, used: Used, now_ms: int) -> int:
+    def withheld_from(
+        self, upstream: str, queue: str, capacity: int, used: Used, now_ms: int
+    ) -> int:
         """Return how much of a runner's free room one queue may not use."""
         shares = self._shares(upstream, now_ms)
-        return shares.kept_from(queue, capacity, used) if shares and capacity > 0 else 0
+        return shares.withheld_from(queue, capacity, used) if shares and capacity > 0 else 0
 
     def _shares(self, upstream: str, now_ms: int) -> UpstreamShares | None:
         if self._demands and now_ms >= self._until_ms:
--- a/src/gapdrum/core/run_bounds.py
+++ b/src/gapdrum/core/run_bounds.py
@@ -47,15 +47,15 @@
 
     resubmit_ms: int
 
-    def lease_duration_ms(self, durable: bool) -> int:
+    def lease_bound_ms(self, durable: bool) -> int:
         """Return how long after its owner's last echo the lease of a run's runner has ended."""
         longest_ms = GRANT_MS + STOP_ALLOWANCE_MS
         return longest_ms if durable else min(longest_ms, self.resubmit_ms - RESUBMIT_MARGIN_MS)
 
     def lease_ms(self, run_lease_ms: int) -> int:
         """Return the longest lease to request if runners grant at most ``run_lease_ms``."""
-        return min(run_lease_ms, self.lease_duration_ms(durable=False) - MAX_ORDER_AGE_MS)
+        return min(run_lease_ms, self.lease_bound_ms(durable=False) - MAX_ORDER_AGE_MS)
 
     def grant_ms(self, durable: bool) -> int:
         """Return how long after its owner's last echo a run is to be stopped."""
-        return self.lease_duration_ms(durable) - STOP_ALLOWANCE_MS
+        return self.lease_bound_ms(durable) - STOP_ALLOWANCE_MS
--- a/src/gapdrum/core/runner_health.py
+++ b/src/gapdrum/core/runner_health.py
@@ -37,7 +37,7 @@
             self.half_open = False
             self.consecutive_failures = 0
 
-    def is_ejected(self, now_ms: int) -> bool:
+    def update_ejection(self, now_ms: int) -> bool:
         """Return whether the runner is ejected; end an ejection that is over by half-opening it."""
         if not self.ejected_until_ms:
             return False
--- a/src/gapdrum/core/runner_ledger.py
+++ b/src/gapdrum/core/runner_ledger.py
@@ -103,17 +103,18 @@
 
     Of the ends, only those of durable jobs' runs that are done or have failed must be stored
     before that: a waiting caller submits its job again, and a stopped run is started anew in any
-    case. ``stored`` is set once the end may be acknowledged: it is stored, need not be, or must
-    not count and has been voided by a lapse of the lease. ``noted_ms`` is when the agent read it.
+    case. ``acknowledgeable`` is set once the end may be acknowledged: it is stored, need not be,
+    or must not count and has been voided by a lapse of the lease. ``listed_ms`` is when the agent
+    read it.
     """
 
     key: RunKey
     owner: str
     epoch: int
     end: RunEnd
-    noted_ms: int
+    listed_ms: int
     submission: int = 0
-    stored: bool = False
+    acknowledgeable: bool = False
     superseded: bool = False
 
     def to_row(self, number: int) -> orders.HeldRun:
@@ -300,9 +301,9 @@
         run = self.drop(ended.run) or Run(ended.run, UNKNOWN_OWNER, 0, ZERO_RESOURCES, 0, now_ms)
         listed = ListedEnd(ended.run, run.owner, run.epoch, ended.end, now_ms, run.submission)
         self._record_outcome(run, ended.end, now_ms)
-        listed.stored = not (run.durable and ended.end in (RunEnd.DONE, RunEnd.FAILED))
+        listed.acknowledgeable = not (run.durable and ended.end in (RunEnd.DONE, RunEnd.FAILED))
         self.ends[ended.number] = listed
-        if listed.stored and run.owner:
+        if listed.acknowledgeable and run.owner:
             self._remember_recent_end(listed)
         event = _event(run, orders.ENDED, ended.end.value, ended.number)
         return run, event
@@ -312,7 +313,9 @@
         recent = self.recent_ends
         recent.pop(listed.key, None)
         recent[listed.key] = listed
-        while (oldest := next(iter(recent.values()))).noted_ms < listed.noted_ms - SILENCE_LIMIT_MS:
+        while (
+            oldest := next(iter(recent.values()))
+        ).listed_ms < listed.listed_ms - SILENCE_LIMIT_MS:
             del recent[oldest.key]
 
     def recent_ends_of(self, entry: str, now_ms: int) -> tuple[orders.HeldRun, ...]:
@@ -321,7 +324,7 @@
             listed.to_row(0)
             for listed in self.recent_ends.values()
             if entry_of_owner(listed.owner) == entry
-            and now_ms - listed.noted_ms <= SILENCE_LIMIT_MS
+            and now_ms - listed.listed_ms <= SILENCE_LIMIT_MS
         )
 
     def _record_running(
@@ -408,7 +411,7 @@
         unanswered = run.phase == orders.HELD_STARTING and not run.calling
         return unanswered and clock_ms > run.start_expires_ms
 
-    def mark_ends_stored(self, numbers: tuple[int, ...], superseded: tuple[int, ...]) -> None:
+    def mark_acknowledgeable(self, numbers: tuple[int, ...], superseded: tuple[int, ...]) -> None:
         """Mark ends that may be acknowledged, and superseded ones, which may be after a lapse.
 
         A listed end counts once it is acknowledged, unless the runner's lease has lapsed after
@@ -416,25 +419,26 @@
         """
         for number in numbers:
             if number in self.ends:
-                self.ends[number].stored = True
+                self.ends[number].acknowledgeable = True
         for number in superseded:
             if number in self.ends:
                 self.ends[number].superseded = True
 
     def awaits_lapse(self) -> bool:
         """Return whether the runner's lease must lapse before a superseded end is acknowledged."""
-        return any(end.superseded and not end.stored for end in self.ends.values())
+        return any(end.superseded and not end.acknowledgeable for end in self.ends.values())
 
     def record_lapse(self) -> None:
         """Record that the runner's lease has lapsed: superseded ends may be acknowledged."""
         for end in self.ends.values():
             if end.superseded:
-                end.stored = True
+                end.acknowledgeable = True
 
     def advance_acknowledged(self) -> int:
         """Advance and return the number up to which the runner may forget its ends."""
         while (
-            self.acknowledged_end + 1 in self.ends and self.ends[self.acknowledged_end + 1].stored
+            self.acknowledged_end + 1 in self.ends
+            and self.ends[self.acknowledged_end + 1].acknowledgeable
         ):
             self.acknowledged_end += 1
             del self.ends[self.acknowledged_end]
@@ -454,7 +458,7 @@
             if job_ids is None or run.key.task.job_id in job_ids
         ]
         for number, end in self.ends.items():
-            if (job_ids is None or end.key.task.job_id in job_ids) and not end.stored:
+            if (job_ids is None or end.key.task.job_id in job_ids) and not end.acknowledgeable:
                 rows.append(end.to_row(number))
         return tuple(rows)
 
@@ -466,8 +470,8 @@
         """
         owners = {HeldOwner(run.owner, run.durable) for run in self.runs.values()}
         for end in self.ends.values():
-            is_young = now_ms - end.noted_ms < OWNERLESS_END_MS
-            if not end.stored and not (end.owner == UNKNOWN_OWNER and is_young):
+            is_young = now_ms - end.listed_ms < OWNERLESS_END_MS
+            if not end.acknowledgeable and not (end.owner == UNKNOWN_OWNER and is_young):
                 owners.add(HeldOwner(end.owner, True))
         return frozenset(owners)
 
@@ -476,7 +480,7 @@
         if key in self.runs:
             return None
         for number, end in self.ends.items():
-            if end.key == key and not end.stored:
+            if end.key == key and not end.acknowledgeable:
                 return attrs.evolve(end.to_event(number), submission=submission)
         task, kind = key.task.text, orders.LOST
         return orders.RunEvent(
--- a/src/gapdrum/core/runner_views.py
+++ b/src/gapdrum/core/runner_views.py
@@ -33,13 +33,14 @@
     """A runner; ``unreported_orders`` are the runs that its last room report does not include.
 
     The runner gets no work before its agent has sent its holdings on this stream (``synced``), as
-    an order that crosses them would seem never to have arrived; the wait began at ``unsynced_ms``.
+    an order that crosses them would seem never to have arrived; the wait began at
+    ``unsynced_since_ms``.
     ``out`` are the tasks that are placed here, ``orders_sent`` the runs ordered on this stream.
     """
 
     place: Place
     agent: AgentView
-    unsynced_ms: int
+    unsynced_since_ms: int
     upstream: str = ""
     state: str = ""
     labels: tuple[str, ...] = ()
@@ -72,14 +73,14 @@
             self.unreported_orders.popleft()
         self._update_free()
 
-    def is_kept_from(self, queue: str, room: Resources) -> bool:
+    def is_reserved_from(self, queue: str, room: Resources) -> bool:
         """Return whether a task would fit, but only into room reserved for other queues."""
         kept = self.kept_cpu_milli.get(queue, 0)
         return self.free.holds(room) and self.free.cpu_milli - room.cpu_milli < kept
 
     def may_use(self, queue: str, room: Resources) -> bool:
         """Return whether there is room for a task that its queue may use."""
-        return self.free.holds(room) and not self.is_kept_from(queue, room)
+        return self.free.holds(room) and not self.is_reserved_from(queue, room)
 
     def order(self, room: Resources) -> None:
         """Take room for one run that is about to be ordered.
@@ -95,7 +96,7 @@
         self.orders_sent = 0
         self.unreported_orders.clear()
         self.synced = False
-        self.unsynced_ms = now_ms
+        self.unsynced_since_ms = now_ms
         self._update_free()
 
     def _update_free(self) -> None:
--- a/src/gapdrum/entry/acceptance.py
+++ b/src/gapdrum/entry/acceptance.py
@@ -179,7 +179,7 @@
         version,
         now_ms,
         durable=durable,
-        failures_allowed=queue.failures_allowed if queue else 1,
+        failure_limit=queue.failure_limit if queue else 1,
         priority=queue.priority if queue else 0,
         latency_factor=queue.latency_factor if queue else 1.0,
         latency_slack_ms=queue.latency_slack_ms if queue else 0,
--- a/src/gapdrum/entry/job_ends.py
+++ b/src/gapdrum/entry/job_ends.py
@@ -129,11 +129,15 @@
         """Store the ends of tasks of open jobs that wait for ``PROGRESS_DELAY_MS``."""
         limit_ms = self._timers.now_ms() - PROGRESS_DELAY_MS
         for job in list(self._dispatch.jobs.values()):
-            if job.durable and job.ending is None and 0 < job.progress_dirty_ms <= limit_ms:
+            if (
+                job.durable
+                and job.ending is None
+                and 0 < job.unstored_progress_since_ms <= limit_ms
+            ):
                 self._background.spawn(self._store_job_progress(job))
 
     async def _store_job_progress(self, job: Job) -> None:
-        job.progress_dirty_ms = 0
+        job.unstored_progress_since_ms = 0
         ends = list(job.unstored_ends)
         transaction = Transaction(
             expectations=(Expectation(open_row(job.job_id), job.version),),
@@ -144,7 +148,9 @@
             result = await self._writer.write(job_part(job.job_id), transaction)
         except StoreError as error:
             self._log.write("progress_unsettled", request=job.job_id, code=error.code)
-            job.progress_dirty_ms = self._timers.now_ms() - PROGRESS_DELAY_MS + RETRY_INTERVAL_MS
+            job.unstored_progress_since_ms = (
+                self._timers.now_ms() - PROGRESS_DELAY_MS + RETRY_INTERVAL_MS
+            )
             return
         if isinstance(result, Conflict):
             if job.ending is None:
--- a/src/gapdrum/entry/links.py
+++ b/src/gapdrum/entry/links.py
@@ -106,7 +106,7 @@
         finally:
             if self._streams.get(greeting.agent) is stream:
                 del self._streams[greeting.agent]
-                self.dispatch.fleet.agent_left(view)
+                self.dispatch.fleet.agent_stream_ended(view)
 
     def greeting(self) -> orders.EntryGreeting:
         """Return this entry's owner name and former ones, as sent to agents."""
--- a/src/gapdrum/entry/takeover.py
+++ b/src/gapdrum/entry/takeover.py
@@ -141,7 +141,7 @@
         now_ms = self._timers.now_ms()
         queue = self._configuration.current.queue_named(record.queue)
         job = build_queue_job(job_id, record, version, queue, now_ms)
-        job.unknown_deadline_ms = now_ms + SILENCE_LIMIT_MS
+        job.requeue_unknown_at_ms = now_ms + SILENCE_LIMIT_MS
         for task in job.tasks:
             task.phase = TaskPhase.UNKNOWN
         if progress is not None:
@@ -171,5 +171,5 @@
         return tuple(
             JobEpoch(job.job_id, job.epoch)
             for job in self._dispatch.jobs.values()
-            if job.durable and job.unknown_deadline_ms
+            if job.durable and job.requeue_unknown_at_ms
         )
--- a/src/gapdrum/platform/configuration.py
+++ b/src/gapdrum/platform/configuration.py
@@ -42,7 +42,7 @@
         upstream=route["service"],
         priority=int(route.get("priority", 0)),
         # ``attempts`` counts only runs that ended as failed, not starts.
-        failures_allowed=max(1, int(route.get("attempts", 1))),
+        failure_limit=max(1, int(route.get("attempts", 1))),
         latency_factor=float(route.get("stretch", 1.0)),
         # The latency target is ``stretch`` times the work plus ``target_latency_ms``.
         latency_slack_ms=int(route.get("target_latency_ms", 0)),
--- a/src/gapdrum/sessions.py
+++ b/src/gapdrum/sessions.py
@@ -43,14 +43,14 @@
         """Close the connections."""
         self._pool.clear()
 
-    def submit(self, submission: Submission, timeout_ms: int = DEFAULT_TIMEOUT_MS) -> Answer:
+    def submit(self, submission: Submission, patience_ms: int = DEFAULT_TIMEOUT_MS) -> Answer:
         """Return the answer of a submission, retrying until it is known.
 
         Raises RefusedError or another error of ``exceptions`` if a retry can't
         help or if the timeout has passed.
         """
         body = json.dumps(unstructure(submission)).encode()
-        deadline_s = time.monotonic() + timeout_ms / MS_PER_S
+        deadline_s = time.monotonic() + patience_ms / MS_PER_S
         while True:
             left_ms = max(1, int((deadline_s - time.monotonic()) * MS_PER_S))
             status, document = self._request(
--- a/tools/planted.py
+++ b/tools/planted.py
@@ -84,7 +84,7 @@
 
     def record_as_stored(self, ended, now_ms):
         recorded = record_end(self, ended, now_ms)
-        self.ends[ended.number].stored = True
+        self.ends[ended.number].acknowledgeable = True
         return recorded
 
     RunnerLedger._record_end = record_as_stored
@@ -122,8 +122,8 @@
 @mechanism
 def resubmission() -> None:
     """Give runs of non-durable jobs the lease duration of durable ones."""
-    lease_duration_ms = RunBounds.lease_duration_ms
-    RunBounds.lease_duration_ms = lambda self, _durable: lease_duration_ms(self, durable=True)
+    lease_bound_ms = RunBounds.lease_bound_ms
+    RunBounds.lease_bound_ms = lambda self, _durable: lease_bound_ms(self, durable=True)
 
 
 @mechanism
--- a/tools/virtual_runner.py
+++ b/tools/virtual_runner.py
@@ -233,7 +233,7 @@
         now_ms = self._timers.now_ms()
         self.starts.stop_overdue_runs(now_ms)
         was_ejected = bool(self.ledger.health.ejected_until_ms)
-        if was_ejected and not self.ledger.health.is_ejected(now_ms):
+        if was_ejected and not self.ledger.health.update_ejection(now_ms):
             self._report([])
         events = self.ledger.apply_snapshot(
             self.runner.poll(self.ledger.advance_acknowledged()), now_ms
